--- a/src/cloud/capacity_planner.cpp
+++ b/src/cloud/capacity_planner.cpp
@@ -55,7 +55,7 @@
   for (const auto& [zone, cpus] : out.capacity.on_demand) total += cpus;
   // Spare capacity for what comes next and for the loss of a machine: in each zone, since services
   // may not all go to one.
-  if (total > 0) anywhere += total * jobs::kServiceSpare + input.largest_machine_cpus / 2;
+  if (total > 0) anywhere += total * jobs::kServiceSpareFraction + input.largest_machine_cpus / 2;
   for (const auto& zone : input.zones)
     out.capacity.on_demand[zone] += anywhere / static_cast<double>(input.zones.size());
   return out;
--- a/src/cloud/capacity_reader.cpp
+++ b/src/cloud/capacity_reader.cpp
@@ -43,7 +43,7 @@
   out.is_expected = is_expected_in_time(spec);
   if (!out.is_expected) return out;
   const auto wall = runtime_.wall();
-  if (const auto target = jobs::target_of(job, settings_, wall))
+  if (const auto target = jobs::reachable_deadline(job, settings_, wall))
     out.until_target = net::to_seconds(*target - wall);
   return out;
 }
--- a/src/cloud/scale_out.cpp
+++ b/src/cloud/scale_out.cpp
@@ -60,7 +60,7 @@
 }
 
 bool ScaleOut::waits_for_machines(const jobs::Job& job) const {
-  return job.record.is_long && job.alive() && job.pending() > 0 && job_owner_.may_assign(job);
+  return job.record.is_long && job.active() && job.pending() > 0 && job_owner_.may_assign(job);
 }
 
 void ScaleOut::launch_for_long_jobs() {
--- a/src/jobs/completion_recorder.cpp
+++ b/src/jobs/completion_recorder.cpp
@@ -71,7 +71,7 @@
     return false;
   const auto& jobs = owned_jobs_.all();
   return std::any_of(jobs.begin(), jobs.end(), [](const auto& entry) {
-    return entry.second->completions.unsaved && entry.second->alive();
+    return entry.second->completions.unsaved && entry.second->active();
   });
 }
 
@@ -84,7 +84,7 @@
 std::vector<std::string> CompletionRecorder::jobs_to_save() const {
   std::vector<std::string> uids;
   for (const auto& [uid, job] : owned_jobs_.all())
-    if (job->alive() && !job->record.spec.service && job->completions.loaded &&
+    if (job->active() && !job->record.spec.service && job->completions.loaded &&
         job->completed_tasks > 0)
       uids.push_back(uid);
   std::sort(uids.begin(), uids.end());
--- a/src/jobs/job.cpp
+++ b/src/jobs/job.cpp
@@ -29,7 +29,7 @@
   Status status;
   status.done = job.completed_tasks;
   for (const auto& [index, assignment] : job.assignments) status.running += assignment.running;
-  status.deciding = job.final_phase && !job.completed;
+  status.final_record_pending = job.final_phase && !job.completed;
   if (job.completed)
     status.phase = *job.final_phase;
   else
--- a/src/jobs/job.hpp
+++ b/src/jobs/job.hpp
@@ -32,7 +32,7 @@
   std::uint32_t done = 0;     ///< completed tasks
   std::uint32_t running = 0;  ///< tasks that run now
   /// The final record is being written: only the state service knows whether it is stored already.
-  bool deciding = false;
+  bool final_record_pending = false;
 };
 
 /// The machine that a task is assigned to. An assignment ends only by proof that the attempt is
@@ -137,7 +137,7 @@
     return retry.fails_everywhere && completed_tasks == 0 ? 1 : record.spec.tasks - completed_tasks;
   }
   /// No final phase is decided.
-  bool alive() const { return !final_phase && !completed; }
+  bool active() const { return !final_phase && !completed; }
   /// Its team's quota refused it so lately that nothing can have changed since: a refused pull
   /// comes again within this time.
   bool quota_refused_recently(net::Time now) const {
--- a/src/jobs/job_completion.cpp
+++ b/src/jobs/job_completion.cpp
@@ -32,7 +32,7 @@
   ++job.completed_tasks;
   std::erase(job.queue.released, index);
   job.completions.unsaved = true;
-  if (job.completed_tasks == job.record.spec.tasks && job.alive()) decide(job, Phase::Done);
+  if (job.completed_tasks == job.record.spec.tasks && job.active()) decide(job, Phase::Done);
 }
 
 void JobCompletion::cancel(const std::string& uid, std::function<void(std::optional<Phase>)> done) {
--- a/src/jobs/job_owner.cpp
+++ b/src/jobs/job_owner.cpp
@@ -159,14 +159,14 @@
   const auto& spec = job.record.spec;
   if (can_be_erased(job)) summary.to_erase.push_back(spec.uid);
   forget_old_failures(job, runtime_.now());
-  if (job.alive() && job.pending() > 0) {
+  if (job.active() && job.pending() > 0) {
     const double tasks = job.unfinished() == 1 ? 1 : job.pending();
     summary.pending_resources[spec.team] += {tasks * spec.cpus, 0, tasks * spec.accelerators};
   }
   // Reasons of long jobs are recorded by the leader's placement, which does nothing while it may
   // not act.
   if (job.record.is_long && !membership_.may_act()) pending_reasons_.record(job);
-  if (!job.record.is_long && job.alive()) update_short_job(job, summary);
+  if (!job.record.is_long && job.active()) update_short_job(job, summary);
 }
 
 void JobOwner::update_short_job(Job& job, JobsSummary& summary) {
@@ -193,7 +193,7 @@
     if (job->completed || job->barrier_epoch == ids::kNoEpoch) continue;
     const bool confirmed = failover_barrier_.confirmed_by_all(job->barrier_epoch);
     all_known = all_known && confirmed && job->completions.loaded;
-    if (!confirmed && job->alive() && job->pending() > 0)
+    if (!confirmed && job->active() && job->pending() > 0)
       awaited = std::max(awaited, job->barrier_epoch);
   }
   failover_barrier_.set_awaited_epoch(awaited);
--- a/src/jobs/long_task_map_publisher.cpp
+++ b/src/jobs/long_task_map_publisher.cpp
@@ -48,7 +48,7 @@
   std::vector<ReservableMachine> reservable;
 
   bool has_enough_spare() const {
-    return free >= with_services * kServiceSpare + largest_machine / 2;
+    return free >= with_services * kServiceSpareFraction + largest_machine / 2;
   }
 };
 }  // namespace
--- a/src/jobs/long_task_map_publisher.hpp
+++ b/src/jobs/long_task_map_publisher.hpp
@@ -5,7 +5,7 @@
 
 namespace limemast::jobs {
 /// Capacity of on-demand machines kept beyond what services use now, as a share of that.
-constexpr double kServiceSpare = 0.06;
+constexpr double kServiceSpareFraction = 0.06;
 
 /// The map tells every member which machines hold long tasks, which are kept for short ones (the
 /// short partition of Eagle, Delgado et al. 2016) and which are reserved for services to come.
--- a/src/jobs/long_task_scheduler.cpp
+++ b/src/jobs/long_task_scheduler.cpp
@@ -104,7 +104,7 @@
   std::vector<WaitingJob> out;
   for (const auto& [uid, job] : job_owner_.jobs()) {
     if (!job->record.is_long) continue;
-    if (job->alive() && job->pending() > 0 && job_owner_.may_assign(*job))
+    if (job->active() && job->pending() > 0 && job_owner_.may_assign(*job))
       out.push_back({scheduling_order(*job, settings_, registry_.underserved_classes(), guarantees_,
                                       runtime_.wall()),
                      job.get()});
--- a/src/jobs/pending_reason_recorder.cpp
+++ b/src/jobs/pending_reason_recorder.cpp
@@ -29,7 +29,7 @@
 
 void PendingReasonRecorder::record(const Job& job) {
   if (!pending_reasons_.on()) return;
-  if (!job.alive())
+  if (!job.active())
     pending_reasons_.clear(job.record.spec.uid, runtime_.now());
   else if (job.pending() == 0)
     record_starting(job);
--- a/src/jobs/prober.cpp
+++ b/src/jobs/prober.cpp
@@ -26,7 +26,7 @@
 }  // namespace
 
 void Prober::top_up(Job& job) {
-  if (!job.alive() || job.pending() == 0) return;
+  if (!job.active() || job.pending() == 0) return;
   auto& probing = job.probing;
   const auto target = scheduling::probe_count(job.pending(), settings_.tuning.min_probes,
                                               registry_.machine_statuses().size());
@@ -157,6 +157,6 @@
     if (!job->probing.machines.empty()) job->probing.redraw_after = runtime_.now() + kRedrawPause;
   }
   const auto to_redraw = forget_probes(*job, message.behind_long_tasks);
-  if (job->alive() && job->pending() > 0) redraw(*job, to_redraw, message.stage);
+  if (job->active() && job->pending() > 0) redraw(*job, to_redraw, message.stage);
 }
 }  // namespace limemast::jobs
--- a/src/jobs/scheduling_order.cpp
+++ b/src/jobs/scheduling_order.cpp
@@ -9,8 +9,8 @@
 }
 }  // namespace
 
-std::optional<net::WallTime> target_of(const ActiveJob& job, const wire::Settings& settings,
-                                       net::WallTime now) {
+std::optional<net::WallTime> reachable_deadline(const ActiveJob& job,
+                                                const wire::Settings& settings, net::WallTime now) {
   std::optional<net::WallTime> target;
   const auto consider = [&](wire::Seconds within) {
     const auto at = job.submitted + net::to_duration(within);
@@ -39,7 +39,7 @@
                                  const std::set<std::string>& underserved_classes,
                                  TeamGuarantees& guarantees, net::WallTime now) {
   const auto& spec = job.record.spec;
-  const auto target = target_of(job.record, settings, now);
+  const auto target = reachable_deadline(job.record, settings, now);
   const bool has_target = spec.due || settings.expects_finish(spec.workload);
   const int rank = static_cast<int>(spec.rank);
   SchedulingOrder order;
--- a/src/jobs/scheduling_order.hpp
+++ b/src/jobs/scheduling_order.hpp
@@ -11,8 +11,8 @@
 namespace limemast::jobs {
 /// When the job should be complete: its own deadline, or the earliest of its class's objectives
 /// that it can still meet. nullopt if there is none that it can still meet.
-std::optional<net::WallTime> target_of(const ActiveJob& job, const wire::Settings& settings,
-                                       net::WallTime now);
+std::optional<net::WallTime> reachable_deadline(const ActiveJob& job,
+                                                const wire::Settings& settings, net::WallTime now);
 
 /// Where a job stands among those that wait: the smaller is placed first. The fields are compared
 /// in the order in which they are declared.
--- a/src/jobs/status_reader.cpp
+++ b/src/jobs/status_reader.cpp
@@ -73,7 +73,7 @@
   const auto status = job_owner_.status(uid);
   // While the end is being written, others may read it and tell it before we hear that it was
   // written: only the store can tell.
-  if (!status || status->deciding) return std::nullopt;
+  if (!status || status->final_record_pending) return std::nullopt;
   const bool final = is_final(status->phase);
   if (final) remember(uid, *status);
   // Unless the lease is certain somebody else may own the job by now: then only what can never
@@ -125,7 +125,7 @@
   for (const auto& uid : query.uids) {
     // The same conditions as in `own_status`.
     if (const auto status = job_owner_.status(uid);
-        status && !status->deciding && membership_.lease_certain())
+        status && !status->final_record_pending && membership_.lease_certain())
       reply.states.emplace_back(messages::StatusReply::Entry{static_cast<unsigned>(status->phase),
                                                              status->done, status->running});
     else
--- a/src/jobs/task_dispatcher.cpp
+++ b/src/jobs/task_dispatcher.cpp
@@ -67,7 +67,7 @@
 
 bool TaskDispatcher::may_assign(const Job& job) const {
   const auto now = runtime_.now();
-  return membership_.may_act() && job.alive() && job.completions.loaded &&
+  return membership_.may_act() && job.active() && job.completions.loaded &&
          now >= job.retry.retry_after && may_start_another(job, now) &&
          failover_barrier_.passed(job);
 }
@@ -171,7 +171,7 @@
   auto* job = owned_jobs_.find(message.uid);
   const auto* machine_status = registry_.find(message.machine);
   messages::NoTask no_task{message.uid, message.machine, false, false};
-  if (!job || !job->alive() || job->pending() == 0) {
+  if (!job || !job->active() || job->pending() == 0) {
     if (job && machine_status) job->probing.machines.erase(machine_status->id);
     no_task.none_left = true;
     return message_bus_.send(from, no_task);
--- a/tests/cloud/capacity_planner_test.cpp
+++ b/tests/cloud/capacity_planner_test.cpp
@@ -51,7 +51,7 @@
 
 TEST_F(CapacityPlannerTest, ServicesNeedOnDemandCapacityWithSpareInEachZone) {
   const auto demand = demand_of({{job(service_)}, {"a", "b"}, 16});
-  const double spare = 12 * jobs::kServiceSpare + 16.0 / 2;
+  const double spare = 12 * jobs::kServiceSpareFraction + 16.0 / 2;
   EXPECT_DOUBLE_EQ(demand.capacity.on_demand.at("a"), (12 + spare) / 2);
   EXPECT_DOUBLE_EQ(demand.capacity.on_demand.at("b"), (12 + spare) / 2);
   EXPECT_EQ(demand.on_demand_jobs, (std::vector<const wire::JobSpec*>{&service_}));
@@ -63,7 +63,7 @@
   auto placed = job(service_);
   placed.tasks_by_zone = &assigned;
   const auto demand = demand_of({{placed}, {"a", "b"}, 0});
-  const double anywhere = 4 + 12 * jobs::kServiceSpare;
+  const double anywhere = 4 + 12 * jobs::kServiceSpareFraction;
   EXPECT_DOUBLE_EQ(demand.capacity.on_demand.at("a"), 8 + anywhere / 2);
   EXPECT_DOUBLE_EQ(demand.capacity.on_demand.at("b"), anywhere / 2);
 }
@@ -71,7 +71,7 @@
 TEST_F(CapacityPlannerTest, AJobThatNamesItsZoneNeedsCapacityThere) {
   service_.zone = "b";
   const auto demand = demand_of({{job(service_)}, {"a", "b"}, 0});
-  const double spare = 12 * jobs::kServiceSpare;
+  const double spare = 12 * jobs::kServiceSpareFraction;
   EXPECT_DOUBLE_EQ(demand.capacity.on_demand.at("a"), spare / 2);
   EXPECT_DOUBLE_EQ(demand.capacity.on_demand.at("b"), 12 + spare / 2);
 }
