--- a/src/jobs/delivery_monitor.cpp
+++ b/src/jobs/delivery_monitor.cpp
@@ -5,7 +5,7 @@
 namespace limemast::jobs {
 namespace {
 using namespace std::chrono_literals;
-constexpr auto kQueryAfter = 3s;
+constexpr auto kQueryInterval = 3s;
 }  // namespace
 
 DeliveryMonitor::DeliveryMonitor(net::Runtime& runtime, cluster::Membership& membership,
@@ -23,10 +23,10 @@
 }
 
 void DeliveryMonitor::watch(const std::string& uid, std::uint32_t index, std::uint64_t attempt) {
-  unresolved_.push_back({runtime_.now() + kQueryAfter, uid, index, attempt});
+  unresolved_.push_back({runtime_.now() + kQueryInterval, uid, index, attempt});
 }
 
-const TaskAssignment* DeliveryMonitor::to_query(const UnresolvedStart& start) const {
+const TaskAssignment* DeliveryMonitor::assignment_to_query(const UnresolvedStart& start) const {
   const auto* job = owned_jobs_.find(start.uid);
   if (!job) return nullptr;
   const auto it = job->assignments.find(start.index);
@@ -34,7 +34,7 @@
   const auto& assignment = it->second;
   if (assignment.attempt != start.attempt || assignment.confirmed) return nullptr;
   // A start that a lost member was to deliver is resolved by heartbeats of the epoch without it.
-  return membership_.is_member(assignment.deliverer) ? &assignment : nullptr;
+  return membership_.is_member(assignment.delivering_controller) ? &assignment : nullptr;
 }
 
 void DeliveryMonitor::tick() {
@@ -42,12 +42,12 @@
   while (!unresolved_.empty() && unresolved_.front().query_at <= now) {
     auto start = std::move(unresolved_.front());
     unresolved_.pop_front();
-    const auto* assignment = to_query(start);
+    const auto* assignment = assignment_to_query(start);
     if (!assignment) continue;
-    message_bus_.send(assignment->deliverer,
+    message_bus_.send(assignment->delivering_controller,
                       messages::QueryStart{assignment->machine, assignment->incarnation, start.uid,
                                            start.index, assignment->attempt});
-    start.query_at = now + kQueryAfter;
+    start.query_at = now + kQueryInterval;
     unresolved_.push_back(std::move(start));
   }
 }
@@ -59,7 +59,8 @@
   const auto it = job->assignments.find(message.index);
   if (it == job->assignments.end()) return;
   auto& assignment = it->second;
-  if (assignment.attempt != message.attempt || assignment.deliverer != from || assignment.confirmed)
+  if (assignment.attempt != message.attempt || assignment.delivering_controller != from ||
+      assignment.confirmed)
     return;
   // A copy: what follows may end the assignment.
   const auto machine = assignment.machine;
--- a/src/jobs/delivery_monitor.hpp
+++ b/src/jobs/delivery_monitor.hpp
@@ -6,8 +6,9 @@
 #include "jobs/refused_machines.hpp"
 
 namespace limemast::jobs {
-/// Watches each start until it is proved whether it reached its machine, and asks its deliverer
-/// about it every 3 s: the deliverer's own message may have been lost.
+/// Watches each start until it is proved whether it reached its machine, and asks its
+/// delivering_controller about it every 3 s: the delivering_controller's own message may have been
+/// lost.
 class DeliveryMonitor {
  public:
   DeliveryMonitor(net::Runtime& runtime, cluster::Membership& membership,
@@ -26,8 +27,9 @@
     std::uint64_t attempt = 0;
   };
   void on_resolved(const ControllerId& from, const messages::StartResolved& message);
-  /// The assignment that the start belongs to, if asking its deliverer about it is of use.
-  const TaskAssignment* to_query(const UnresolvedStart& start) const;
+  /// The assignment that the start belongs to, if asking its delivering_controller about it is of
+  /// use.
+  const TaskAssignment* assignment_to_query(const UnresolvedStart& start) const;
 
   net::Runtime& runtime_;
   cluster::Membership& membership_;
--- a/src/jobs/heartbeat_reconciler.cpp
+++ b/src/jobs/heartbeat_reconciler.cpp
@@ -9,7 +9,7 @@
 namespace limemast::jobs {
 namespace {
 /// A machine may be preempted before its notice says: only this part of the time left is relied on.
-constexpr double kPreemptionNoticeTrust = 0.8;
+constexpr double kUsableNoticeFraction = 0.8;
 
 /// The exit completes the task. A replica of a service is never complete.
 bool completes(const Job& job, const wire::TaskStatus& task) {
@@ -47,7 +47,7 @@
   if (!machine_status) return;
   const auto& heartbeat = machine_status->heartbeat;
   owned_jobs_.on_heartbeat(machine);
-  note_attached_controller(*machine_status);
+  update_attached_controller(*machine_status);
   for (const auto& [uid, index] : owned_jobs_.tasks_on(machine))
     if (auto* job = owned_jobs_.find(uid)) reconcile_assigned(*job, index, *machine_status);
 
@@ -57,7 +57,7 @@
   // machine that is gone would never end, as only the removal of its record proves it gone (test:
   // StaleHeartbeatsAtNewLeader.DoNotBringTerminatedMachinesBack).
   if (!heartbeat.tasks.empty() && !registry_.registered(machine)) {
-    to_reread_.insert(machine);
+    machines_to_reprocess_.insert(machine);
     return;
   }
   for (const auto& task : heartbeat.tasks) reconcile_observed(task, *machine_status);
@@ -66,7 +66,7 @@
   failover_barrier_.confirm(machine, heartbeat.fencing_token);
 }
 
-void HeartbeatReconciler::note_attached_controller(const MachineStatus& machine_status) {
+void HeartbeatReconciler::update_attached_controller(const MachineStatus& machine_status) {
   const auto id = machine_status.id;
   if (id >= attached_controllers_.size()) attached_controllers_.resize(id + 1);
   auto& known = attached_controllers_[id];
@@ -136,7 +136,7 @@
     return;
   const auto ran =
       task.runs() ? net::to_seconds(runtime_.now() - assignment.running_since) : wire::Seconds(0);
-  const auto time_left = *heartbeat.preemption_notice * kPreemptionNoticeTrust;
+  const auto time_left = *heartbeat.preemption_notice * kUsableNoticeFraction;
   if (task.runs() && ran + time_left > spec.estimate) return;
   assignment.preemption_stop_sent = true;
   command_worker(heartbeat.machine, task, wire::CommandKind::Stop, spec.grace_period());
@@ -176,7 +176,7 @@
       job.completions.done[task.index] && job.completions.recorded.test(task.index);
   if (confirmed && (!completed || recorded))
     command_worker(heartbeat.machine, task, wire::CommandKind::Forget);
-  to_reread_.insert(heartbeat.machine);
+  machines_to_reprocess_.insert(heartbeat.machine);
 }
 
 void HeartbeatReconciler::adopt_orphan(Job& job, const wire::TaskStatus& task,
@@ -288,14 +288,14 @@
                                          wire::CommandKind kind, wire::Seconds grace_period) {
   const auto* machine_status = registry_.find(machine);
   if (!machine_status) return;
-  to_reread_.insert(machine);
+  machines_to_reprocess_.insert(machine);
   const wire::Command command{kind, task.uid, task.index, task.attempt, grace_period};
   message_bus_.send(machine_status->attached_controller,
                     messages::CommandWorker{machine, command, runtime_.wall()});
 }
 
-void HeartbeatReconciler::reread_pending() {
-  for (const auto& machine : std::exchange(to_reread_, {})) on_heartbeat(machine);
+void HeartbeatReconciler::reprocess_heartbeats() {
+  for (const auto& machine : std::exchange(machines_to_reprocess_, {})) on_heartbeat(machine);
 }
 
 void HeartbeatReconciler::on_epoch_changed() {
@@ -303,11 +303,11 @@
   for (const auto& [uid, job] : owned_jobs_.all())
     for (auto& [index, assignment] : job->assignments) {
       if (assignment.confirmed || assignment.void_from_token != ids::kNoToken ||
-          membership_.is_member(assignment.deliverer))
+          membership_.is_member(assignment.delivering_controller))
         continue;
       assignment.void_from_token = token;
       // Its machine may have shown the new epoch to another controller before we learned of it.
-      to_reread_.insert(assignment.machine);
+      machines_to_reprocess_.insert(assignment.machine);
     }
 }
 
@@ -315,7 +315,7 @@
   for (const auto& [uid, index] : owned_jobs_.tasks_on(machine))
     if (auto* job = owned_jobs_.find(uid)) release(*job, index, Requeue::Yes);
   failover_barrier_.remove(machine);
-  to_reread_.erase(machine);
+  machines_to_reprocess_.erase(machine);
   const auto* machine_status = registry_.find(machine);
   if (!machine_status) return;
   // Its id will be given to another machine.
--- a/src/jobs/heartbeat_reconciler.hpp
+++ b/src/jobs/heartbeat_reconciler.hpp
@@ -27,7 +27,7 @@
   /// Starts that a lost member was to deliver are resolved by heartbeats of the new epoch.
   void on_epoch_changed();
   /// Reads heartbeats again from which something could not be concluded yet. Once a second.
-  void reread_pending();
+  void reprocess_heartbeats();
   /// Ends the assignment of a task, if there is one.
   void release(Job& job, std::uint32_t index, Requeue requeue);
   /// Sends the machine a command for this task. `grace_period`: how long the task may take to save
@@ -37,7 +37,7 @@
 
  private:
   /// The probes that the machine's former controller had queued are gone.
-  void note_attached_controller(const MachineStatus& machine_status);
+  void update_attached_controller(const MachineStatus& machine_status);
   /// What the heartbeat shows of a task that is assigned to the machine.
   void reconcile_assigned(Job& job, std::uint32_t index, const MachineStatus& machine_status);
   void confirm(Job& job, std::uint32_t index, TaskAssignment& assignment,
@@ -75,7 +75,7 @@
   FailoverBarrierState& failover_barrier_;
   JobCompletion& job_completion_;
   /// Machines whose newest heartbeat must be read again though no newer one may come.
-  std::set<std::string> to_reread_;
+  std::set<std::string> machines_to_reprocess_;
   /// By the machine's id: the controller it was attached to when its heartbeat was last read.
   std::vector<ControllerId> attached_controllers_;
 };
--- a/src/jobs/job.hpp
+++ b/src/jobs/job.hpp
@@ -40,9 +40,9 @@
 struct TaskAssignment : machines::Assignment {
   std::string machine;
   std::string zone;
-  ControllerId deliverer;             ///< the controller that was asked to start it
-  bool running = false;               ///< by the newest heartbeat
-  bool preemption_stop_sent = false;  ///< stopped ahead of the machine's preemption
+  ControllerId delivering_controller;  ///< the controller that was asked to start it
+  bool running = false;                ///< by the newest heartbeat
+  bool preemption_stop_sent = false;   ///< stopped ahead of the machine's preemption
   net::Time running_since{};
 };
 
@@ -68,9 +68,9 @@
   bool first_sent = false;   ///< the first probes, drawn from all machines, are out
   /// The version of its kind's candidates of which none is left to draw; 0: draw again.
   std::uint64_t exhausted_candidates_version = 0;
-  net::Time redraw_after{};   ///< queues had no place for its probes: no redraw before
-  net::Time widen_after{};    ///< no search for further machines with room before
-  net::Time last_activity{};  ///< when all its probes were last sent, or one was pulled
+  net::Time redraw_after{};          ///< queues had no place for its probes: no redraw before
+  net::Time further_probes_after{};  ///< no search for further machines with room before
+  net::Time last_activity{};         ///< when all its probes were last sent, or one was pulled
 };
 
 /// The counts of the job's pending tasks that were last sent to all controllers. Written by
@@ -88,10 +88,11 @@
 
 /// Failures of the job's tasks. Written by the functions of retry_backoff.hpp.
 struct RetryState {
-  std::map<std::string, net::Time> failed_on;  ///< machine -> time of the last failure there
-  net::Time retry_after{};                     ///< no assignment before
-  net::Duration longest_failure{};             ///< the longest run of a task before it failed
-  bool fails_everywhere = false;  ///< failed on several machines and has completed nothing
+  std::map<std::string, net::Time>
+      last_failure_by_machine;         ///< machine -> time of the last failure there
+  net::Time retry_after{};             ///< no assignment before
+  net::Duration longest_failed_run{};  ///< the longest run of a task before it failed
+  bool fails_everywhere = false;       ///< failed on several machines and has completed nothing
 };
 
 /// A job that this controller owns. `record`, `assignments`, `zones` and `completed_tasks` are read
@@ -141,8 +142,8 @@
   /// Its team's quota refused it so lately that nothing can have changed since: a refused pull
   /// comes again within this time.
   bool quota_refused_recently(net::Time now) const {
-    constexpr std::chrono::seconds kPullsComeAgainWithin{2};
-    return now - last_quota_refusal < kPullsComeAgainWithin;
+    constexpr std::chrono::seconds kPullRetryInterval{2};
+    return now - last_quota_refusal < kPullRetryInterval;
   }
 };
 
--- a/src/jobs/job_owner.cpp
+++ b/src/jobs/job_owner.cpp
@@ -53,7 +53,7 @@
   }
 }
 
-bool JobOwner::is_to_take_up(const std::string& uid) const {
+bool JobOwner::should_take_ownership(const std::string& uid) const {
   const auto* record = job_directory_.find(uid);
   return record && record->needs_capacity() && !owned_jobs_.contains(uid) &&
          job_directory_.owner_of(uid) == membership_.self();
@@ -64,18 +64,18 @@
                         : record.accepted_by == membership_.self();
 }
 
-Job& JobOwner::take_up(const ActiveJob& record) {
+Job& JobOwner::add_owned_job(const ActiveJob& record) {
   auto job = std::make_unique<Job>();
   job->record = record;
   job->last_progress = runtime_.now();
   job->completions.done.resize(record.spec.tasks);
   job->completions.recorded = TaskBitmap(record.spec.tasks);
-  if (!owned_since_acceptance(record)) put_behind_barrier(*job);
+  if (!owned_since_acceptance(record)) apply_failover_barrier(*job);
   return owned_jobs_.add(std::move(job));
 }
 
 /// A former owner that is lost may have assigned tasks, and may have saved which are complete.
-void JobOwner::put_behind_barrier(Job& job) {
+void JobOwner::apply_failover_barrier(Job& job) {
   job.barrier_epoch = membership_.epoch().number;
   job.completions.loaded = job.record.spec.service;
   job.completions.unsaved = true;
@@ -84,17 +84,17 @@
 void JobOwner::take_ownership(const std::vector<std::string>& uids) {
   if (membership_.self().empty() || !membership_.is_member(membership_.self())) return;
   bool any_to_load = false;
-  bool any_behind_barrier = false;
+  bool any_blocked = false;
   for (const auto& uid : uids) {
-    if (!is_to_take_up(uid)) continue;
-    auto& job = take_up(*job_directory_.find(uid));
-    const bool behind_barrier = job.barrier_epoch != ids::kNoEpoch;
-    any_behind_barrier = any_behind_barrier || behind_barrier;
+    if (!should_take_ownership(uid)) continue;
+    auto& job = add_owned_job(*job_directory_.find(uid));
+    const bool blocked = job.barrier_epoch != ids::kNoEpoch;
+    any_blocked = any_blocked || blocked;
     any_to_load = any_to_load || !job.completions.loaded;
-    if (!job.record.is_long && membership_.may_act() && !behind_barrier) prober_.top_up(job);
+    if (!job.record.is_long && membership_.may_act() && !blocked) prober_.top_up(job);
   }
   if (any_to_load) completion_recorder_.load();
-  if (!any_behind_barrier) return;
+  if (!any_blocked) return;
   // A machine may have shown the new epoch before this controller learned of it: what it holds must
   // be taken in all the same.
   for (const auto& [machine, status] : registry_.machine_statuses())
@@ -133,17 +133,17 @@
 
 void JobOwner::tick() {
   JobsSummary summary;
-  refused_machines_.forget_old(runtime_.now());
+  refused_machines_.forget_expired(runtime_.now());
   for (const auto& [uid, job] : owned_jobs_.all()) update_job(*job, summary);
   if (!summary.to_announce.empty() && membership_.may_act())
     pending_tasks_broadcast_.send(summary.to_announce);
   delivery_monitor_.tick();
-  heartbeat_reconciler_.reread_pending();
+  heartbeat_reconciler_.reprocess_heartbeats();
   for (const auto& uid : summary.to_erase) owned_jobs_.erase(uid);
-  const bool all_known = update_failover_barrier(!summary.pending_resources.empty());
-  quota_.expect(std::move(summary.pending_resources));
+  const bool all_tasks_known = update_failover_barrier(!summary.pending_resources.empty());
+  quota_.set_pending_demand(std::move(summary.pending_resources));
   update_orphaned_usage();
-  quota_.tick(all_known);
+  quota_.tick(all_tasks_known);
   completion_recorder_.save_if_due();
 }
 
@@ -158,7 +158,7 @@
 void JobOwner::update_job(Job& job, JobsSummary& summary) {
   const auto& spec = job.record.spec;
   if (can_be_erased(job)) summary.to_erase.push_back(spec.uid);
-  forget_old_failures(job, runtime_.now());
+  forget_expired_failures(job, runtime_.now());
   if (job.active() && job.pending() > 0) {
     const double tasks = job.unfinished() == 1 ? 1 : job.pending();
     summary.pending_resources[spec.team] += {tasks * spec.cpus, 0, tasks * spec.accelerators};
@@ -174,30 +174,31 @@
   if (pending_tasks_broadcast_.is_due(job) || assignable_again) summary.to_announce.push_back(&job);
   if (pending_reasons_.enabled()) pending_reasons_.record(job);
   if (!membership_.may_act()) return;
-  prober_.renew_if_lost(job);
+  prober_.resend_if_lost(job);
   // No further probes before tasks may be assigned: every machine would pull a job that was taken
   // over, in vain.
   if (!job.completions.loaded || !failover_barrier_.passed(job)) return;
   prober_.top_up(job);
   // Room elsewhere is of no use to what the team's quota holds back.
-  if (!job.quota_refused_recently(runtime_.now()) && may_assign(job)) prober_.widen_search(job);
+  if (!job.quota_refused_recently(runtime_.now()) && may_assign(job))
+    prober_.probe_further_machines(job);
 }
 
 bool JobOwner::update_failover_barrier(bool work_pending) {
   // What a lost owner had assigned is known, and counted by some owner, once every machine has
   // confirmed the epoch without it. Members that joined since then had nothing assigned.
   auto awaited = ids::kNoEpoch;
-  bool all_known = failover_barrier_.confirmed_by_all(quota_.lost_since());
-  if (!all_known && work_pending && quota_.recovering()) awaited = quota_.lost_since();
+  bool all_tasks_known = failover_barrier_.confirmed_by_all(quota_.recovery_epoch());
+  if (!all_tasks_known && work_pending && quota_.recovering()) awaited = quota_.recovery_epoch();
   for (const auto& [uid, job] : owned_jobs_.all()) {
     if (job->completed || job->barrier_epoch == ids::kNoEpoch) continue;
     const bool confirmed = failover_barrier_.confirmed_by_all(job->barrier_epoch);
-    all_known = all_known && confirmed && job->completions.loaded;
+    all_tasks_known = all_tasks_known && confirmed && job->completions.loaded;
     if (!confirmed && job->active() && job->pending() > 0)
       awaited = std::max(awaited, job->barrier_epoch);
   }
   failover_barrier_.set_awaited_epoch(awaited);
-  return all_known;
+  return all_tasks_known;
 }
 
 void JobOwner::update_orphaned_usage() {
--- a/src/jobs/job_owner.hpp
+++ b/src/jobs/job_owner.hpp
@@ -113,12 +113,12 @@
     std::vector<std::string> to_erase;
   };
   void on_probes_dropped(const messages::ProbesDropped& message);
-  bool is_to_take_up(const std::string& uid) const;
+  bool should_take_ownership(const std::string& uid) const;
   /// The job was accepted here, or since this controller has led: no other owner assigned its
   /// tasks.
   bool owned_since_acceptance(const ActiveJob& record) const;
-  Job& take_up(const ActiveJob& record);
-  void put_behind_barrier(Job& job);
+  Job& add_owned_job(const ActiveJob& record);
+  void apply_failover_barrier(Job& job);
   /// Probes that controllers of former epochs held are gone, and a new member knows of no pending
   /// tasks.
   void reset_probes_and_announcements();
--- a/src/jobs/long_task_placement.cpp
+++ b/src/jobs/long_task_placement.cpp
@@ -21,13 +21,14 @@
 }
 }  // namespace
 
-std::vector<MachineSlot*> LongTaskPlacement::fitting(const Job& job, MachineSlots& slots) const {
+std::vector<MachineSlot*> LongTaskPlacement::slots_with_room(const Job& job,
+                                                             MachineSlots& slots) const {
   const auto& spec = job.record.spec;
   const auto need = Resources::of(spec);
   const bool best_effort = settings_.yields(spec);
   std::vector<MachineSlot*> out;
   for (auto& slot : slots)
-    if (slot.free.fits(need) && (!best_effort || open_to_best_effort(slot, spec)) &&
+    if (slot.free.fits(need) && (!best_effort || accepts_best_effort(slot, spec)) &&
         job_owner_.may_place(job, *slot.machine_status))
       out.push_back(&slot);
   return out;
@@ -36,10 +37,10 @@
 /// A machine with a long task takes no short ones and cannot be released. While short tasks lack
 /// room, and where the machine is an on-demand one that the job need not have, best-effort tasks
 /// go only to machines that hold other long tasks anyhow.
-bool LongTaskPlacement::open_to_best_effort(const MachineSlot& slot,
+bool LongTaskPlacement::accepts_best_effort(const MachineSlot& slot,
                                             const wire::JobSpec& spec) const {
   const auto& heartbeat = slot.machine_status->heartbeat;
-  if (!short_tasks_lack_room_ && (heartbeat.spot || !spec.spot)) return true;
+  if (!short_task_shortage_ && (heartbeat.spot || !spec.spot)) return true;
   return std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(), [&](const auto& task) {
     const auto* other = task.exited() ? nullptr : job_directory_.find(task.uid);
     return other && other->is_long && !settings_.yields(other->spec);
@@ -68,10 +69,10 @@
   // All or none: a gang that holds machines while it waits for its last task wastes them. What is
   // left of an earlier attempt ends by itself before the next one begins.
   if (!job.assignments.empty() || !job_owner_.quota_allows_all(job)) return;
-  const auto fit = fitting(job, slots);
+  const auto fit = slots_with_room(job, slots);
   const auto zones = job.record.spec.one_zone ? settings_.zones : std::vector<std::string>{""};
   for (const auto& zone : zones) {
-    const auto room = room_for_gang(job, fit, zone);
+    const auto room = slots_for_gang(job, fit, zone);
     if (room.empty()) continue;
     while (job.pending() > 0 && place_one(job, room)) {
     }
@@ -79,9 +80,9 @@
   }
 }
 
-std::vector<MachineSlot*> LongTaskPlacement::room_for_gang(const Job& job,
-                                                           const std::vector<MachineSlot*>& slots,
-                                                           const std::string& zone) {
+std::vector<MachineSlot*> LongTaskPlacement::slots_for_gang(const Job& job,
+                                                            const std::vector<MachineSlot*>& slots,
+                                                            const std::string& zone) {
   const auto& spec = job.record.spec;
   const auto need = Resources::of(spec);
   std::vector<MachineSlot*> out;
--- a/src/jobs/long_task_scheduler.cpp
+++ b/src/jobs/long_task_scheduler.cpp
@@ -81,7 +81,7 @@
   if (!run_is_due(now)) return;
   guarantees_.reset();
   const auto waiting = collect_waiting_jobs();
-  preemption_.end_backoffs(now);
+  preemption_.remove_expired_backoffs(now);
   if (waiting.empty()) return;
   if (pending_reasons_.on()) record_queue_positions(waiting);
   place(waiting, now);
--- a/src/jobs/orphaned_usage.cpp
+++ b/src/jobs/orphaned_usage.cpp
@@ -10,7 +10,7 @@
 
 /// A living owner has each of the job's tasks assigned, or knows that it is gone: the job never
 /// changed owners, or it has not ended and was taken over.
-bool has_living_owner(const cluster::ActiveJob* job, const cluster::Membership& membership) {
+bool has_active_owner(const cluster::ActiveJob* job, const cluster::Membership& membership) {
   if (!job || !job->spec_known) return false;
   return !job->ended || (!job->is_long && membership.is_member(job->accepted_by));
 }
@@ -29,7 +29,7 @@
 }  // namespace
 
 Resources OrphanedUsage::of(const std::string& team) const {
-  auto usage = of_any;
+  auto usage = unknown_team;
   if (const auto it = by_team.find(team); it != by_team.end()) usage += it->second;
   return usage;
 }
@@ -42,7 +42,7 @@
   OrphanedUsage usage;
   // There are hardly ever any, and then the machines need not be searched.
   const auto may_be_orphaned = [&](const std::string& uid) {
-    return !has_living_owner(job_directory.find(uid), membership);
+    return !has_active_owner(job_directory.find(uid), membership);
   };
   if (!registry.any_on_machines(may_be_orphaned)) return usage;
   for (const auto& [name, machine_status] : registry.machine_statuses()) {
@@ -50,13 +50,13 @@
     for (const auto& task : machine_status.heartbeat.tasks) {
       if (task.exited()) continue;
       const auto* job = job_directory.find(task.uid);
-      if (has_living_owner(job, membership) || assigned_here(name, task)) continue;
+      if (has_active_owner(job, membership) || assigned_here(name, task)) continue;
       if (job && job->resources_known)
         usage.by_team[job->spec.team] += quota_resources(job->spec);
       else
         any_unknown = true;
     }
-    if (any_unknown) usage.of_any += max_unknown_usage(machine_status, job_directory);
+    if (any_unknown) usage.unknown_team += max_unknown_usage(machine_status, job_directory);
   }
   return usage;
 }
--- a/src/jobs/orphaned_usage.hpp
+++ b/src/jobs/orphaned_usage.hpp
@@ -12,7 +12,7 @@
 struct OrphanedUsage {
   std::map<std::string, wire::Resources> by_team;
   /// Of tasks whose team is unknown: the most that their machines can hold. Counts for every team.
-  wire::Resources of_any;
+  wire::Resources unknown_team;
   /// What counts for this team.
   wire::Resources of(const std::string& team) const;
 };
--- a/src/jobs/owned_jobs.cpp
+++ b/src/jobs/owned_jobs.cpp
@@ -13,7 +13,7 @@
 void OwnedJobs::assign(Job& job, std::uint32_t index, TaskAssignment assignment) {
   const auto& spec = job.record.spec;
   ++job.zones[assignment.zone];
-  auto& held = on_machine_[assignment.machine];
+  auto& held = tasks_by_machine_[assignment.machine];
   held.tasks.push_back({spec.uid, index});
   if (job.record.is_long) ++held.long_tasks;
   held.starting.reset();
@@ -27,11 +27,12 @@
   const auto& spec = job.record.spec;
   const auto zone = job.zones.find(it->second.zone);
   if (zone != job.zones.end() && --zone->second == 0) job.zones.erase(zone);
-  const auto held = on_machine_.find(it->second.machine);
-  if (held != on_machine_.end() && std::erase(held->second.tasks, TaskRef{spec.uid, index}) > 0) {
+  const auto held = tasks_by_machine_.find(it->second.machine);
+  if (held != tasks_by_machine_.end() &&
+      std::erase(held->second.tasks, TaskRef{spec.uid, index}) > 0) {
     if (job.record.is_long) --held->second.long_tasks;
     held->second.starting.reset();
-    if (held->second.tasks.empty()) on_machine_.erase(held);
+    if (held->second.tasks.empty()) tasks_by_machine_.erase(held);
   }
   ++capacity_changes_;
   quota_.release(spec.team, wire::Resources::of(spec));
@@ -47,24 +48,24 @@
 }
 
 std::vector<TaskRef> OwnedJobs::tasks_on(const std::string& machine) const {
-  const auto it = on_machine_.find(machine);
-  return it == on_machine_.end() ? std::vector<TaskRef>() : it->second.tasks;
+  const auto it = tasks_by_machine_.find(machine);
+  return it == tasks_by_machine_.end() ? std::vector<TaskRef>() : it->second.tasks;
 }
 
 bool OwnedJobs::has_tasks_on(const std::string& machine) const {
-  const auto it = on_machine_.find(machine);
-  return it != on_machine_.end() && !it->second.tasks.empty();
+  const auto it = tasks_by_machine_.find(machine);
+  return it != tasks_by_machine_.end() && !it->second.tasks.empty();
 }
 
 bool OwnedJobs::has_long_tasks(const std::string& machine) const {
-  const auto it = on_machine_.find(machine);
-  return it != on_machine_.end() && it->second.long_tasks > 0;
+  const auto it = tasks_by_machine_.find(machine);
+  return it != tasks_by_machine_.end() && it->second.long_tasks > 0;
 }
 
 wire::Resources OwnedJobs::starting_resources(const std::string& machine) const {
   wire::Resources total;
-  const auto it = on_machine_.find(machine);
-  if (it == on_machine_.end()) return total;
+  const auto it = tasks_by_machine_.find(machine);
+  if (it == tasks_by_machine_.end()) return total;
   if (it->second.starting) return *it->second.starting;
   const auto* machine_status = registry_.find(machine);
   if (!machine_status) return total;
@@ -80,7 +81,7 @@
 
 void OwnedJobs::on_heartbeat(const std::string& machine) {
   ++capacity_changes_;
-  const auto it = on_machine_.find(machine);
-  if (it != on_machine_.end()) it->second.starting.reset();
+  const auto it = tasks_by_machine_.find(machine);
+  if (it != tasks_by_machine_.end()) it->second.starting.reset();
 }
 }  // namespace limemast::jobs
--- a/src/jobs/owned_jobs.hpp
+++ b/src/jobs/owned_jobs.hpp
@@ -70,7 +70,7 @@
   const machines::Registry& registry_;
   Quota& quota_;
   JobMap jobs_;
-  std::unordered_map<std::string, MachineTasks> on_machine_;
+  std::unordered_map<std::string, MachineTasks> tasks_by_machine_;
   std::uint64_t capacity_changes_ = 0;
   std::uint64_t long_job_arrivals_ = 0;
 };
--- a/src/jobs/pending_reason_recorder.cpp
+++ b/src/jobs/pending_reason_recorder.cpp
@@ -63,9 +63,9 @@
     pending_reasons_.note(spec.uid, PendingReason::TeamLimit, pending, now);
     return;
   }
-  const bool has_failed = !job.retry.failed_on.empty();
+  const bool has_failures = !job.retry.last_failure_by_machine.empty();
   const auto verdict =
-      capacity_diagnosis_.judge(spec, job.record.is_long, pending, job.zones, has_failed, now);
+      capacity_diagnosis_.judge(spec, job.record.is_long, pending, job.zones, has_failures, now);
   pending_reasons_.note(spec.uid, verdict.reason, pending, now, verdict.until);
 }
 }  // namespace limemast::jobs
--- a/src/jobs/pending_tasks_broadcast.cpp
+++ b/src/jobs/pending_tasks_broadcast.cpp
@@ -5,7 +5,7 @@
 namespace limemast::jobs {
 namespace {
 using namespace std::chrono_literals;
-constexpr auto kRepeatAfter = 5s;
+constexpr auto kRepeatInterval = 5s;
 
 PendingTasksAnnouncement::Counts counts_of(const Job& job) {
   return {job.pending(), job.unfinished()};
@@ -14,7 +14,7 @@
 
 bool PendingTasksBroadcast::is_due(const Job& job) const {
   return job.announcement.last != counts_of(job) ||
-         runtime_.now() - job.announcement.last_at > kRepeatAfter;
+         runtime_.now() - job.announcement.last_at > kRepeatInterval;
 }
 
 void PendingTasksBroadcast::send(const std::vector<Job*>& jobs) {
--- a/src/jobs/preemption.cpp
+++ b/src/jobs/preemption.cpp
@@ -22,7 +22,7 @@
 };
 }  // namespace
 
-void Preemption::end_backoffs(net::Time now) {
+void Preemption::remove_expired_backoffs(net::Time now) {
   std::erase_if(retry_after_, [&](const auto& entry) { return entry.second < now; });
 }
 
--- a/src/jobs/preemption.hpp
+++ b/src/jobs/preemption.hpp
@@ -27,7 +27,7 @@
   /// The job found no victims a moment ago.
   bool is_backing_off(const std::string& uid) const { return retry_after_.contains(uid); }
   /// To be called in each run: lets jobs try again whose backoff is over.
-  void end_backoffs(net::Time now);
+  void remove_expired_backoffs(net::Time now);
 
  private:
   bool place_one(const Job& job, MachineSlots& slots);
--- a/src/jobs/prober.cpp
+++ b/src/jobs/prober.cpp
@@ -14,11 +14,11 @@
 /// Queues that had no place for a probe have none a moment later either.
 constexpr auto kRedrawPause = 2s;
 /// A job without progress for this long looks for further machines with room, and then this often.
-constexpr auto kWidenAfter = 5s;
-constexpr auto kWidenInterval = 2s;
+constexpr auto kFurtherProbesAfter = 5s;
+constexpr auto kFurtherProbesInterval = 2s;
 /// And for this long before it is probed beside long tasks, and where capacity is reserved for
 /// services: no job may wait 90 s where there is room.
-constexpr auto kWidenAnywhereAfter = 60s;
+constexpr auto kProbeAnywhereAfter = 60s;
 /// Stages of a redraw; the last is machines::kLastResort.
 constexpr int kFirstDraw = 0;
 constexpr int kByMap = 1;
@@ -50,7 +50,7 @@
 std::size_t Prober::redraw(Job& job, std::size_t count, int stage) {
   const auto& candidates = candidates_.of(job.record.spec, runtime_.now());
   while (count > 0 && ++stage <= machines::kLastResort) {
-    auto machines = machines_of_stage(job, candidates.machines, stage);
+    auto machines = machines_for_stage(job, candidates.machines, stage);
     const auto chosen = scheduling::draw(std::move(machines), count, runtime_.random());
     count -= chosen.size();
     send(job, chosen, stage);
@@ -58,9 +58,9 @@
   return count;
 }
 
-std::vector<ids::DenseId> Prober::machines_of_stage(const Job& job,
-                                                    const std::vector<ids::DenseId>& candidates,
-                                                    int stage) const {
+std::vector<ids::DenseId> Prober::machines_for_stage(const Job& job,
+                                                     const std::vector<ids::DenseId>& candidates,
+                                                     int stage) const {
   const auto& map = registry_.long_task_map();
   std::vector<ids::DenseId> machines;
   // Beyond the paper: a job that may go to no machine of the short partition (its zone, type or
@@ -74,15 +74,15 @@
   return machines;
 }
 
-void Prober::widen_search(Job& job) {
+void Prober::probe_further_machines(Job& job) {
   const auto now = runtime_.now();
   auto& probing = job.probing;
-  const auto unmoved = now - job.last_progress;
-  if (probing.machines.empty() || job.pending() == 0 || unmoved < kWidenAfter ||
-      now < probing.widen_after)
+  const auto without_progress = now - job.last_progress;
+  if (probing.machines.empty() || job.pending() == 0 || without_progress < kFurtherProbesAfter ||
+      now < probing.further_probes_after)
     return;
-  probing.widen_after = now + kWidenInterval;
-  const bool anywhere = unmoved >= kWidenAnywhereAfter;
+  probing.further_probes_after = now + kFurtherProbesInterval;
+  const bool anywhere = without_progress >= kProbeAnywhereAfter;
   auto machines = candidates_.with_room(job.record.spec, now);
   const auto& shunned = registry_.long_task_map().shunned;
   std::erase_if(machines, [&](ids::DenseId machine) {
@@ -94,7 +94,7 @@
        anywhere ? machines::kLastResort : kByMap);
 }
 
-void Prober::renew_if_lost(Job& job) {
+void Prober::resend_if_lost(Job& job) {
   const auto now = runtime_.now();
   auto& probing = job.probing;
   if (probing.machines.empty() || now - probing.last_activity <= kAssumeLostAfter) return;
@@ -140,7 +140,7 @@
   registry_.apply_long_task_map(std::move(map));
 }
 
-std::size_t Prober::forget_probes(Job& job, const std::vector<std::string>& machines) {
+std::size_t Prober::remove_probes(Job& job, const std::vector<std::string>& machines) {
   std::size_t forgotten = 0;
   for (const auto& machine : machines)
     if (const auto* machine_status = registry_.find(machine))
@@ -152,11 +152,11 @@
   if (message.map) apply_map(*message.map);
   if (!job) return;
   // Those that were not rejected for long tasks are replaced by a later top_up.
-  if (forget_probes(*job, message.otherwise) > 0) {
+  if (remove_probes(*job, message.otherwise) > 0) {
     job->probing.exhausted_candidates_version = 0;
     if (!job->probing.machines.empty()) job->probing.redraw_after = runtime_.now() + kRedrawPause;
   }
-  const auto to_redraw = forget_probes(*job, message.behind_long_tasks);
+  const auto to_redraw = remove_probes(*job, message.behind_long_tasks);
   if (job->active() && job->pending() > 0) redraw(*job, to_redraw, message.stage);
 }
 }  // namespace limemast::jobs
--- a/src/jobs/prober.hpp
+++ b/src/jobs/prober.hpp
@@ -23,11 +23,11 @@
   void top_up(Job& job);
   /// Sends the job's probes once more if none was pulled for so long that they may be lost: a
   /// controller keeps those that it has.
-  void renew_if_lost(Job& job);
+  void resend_if_lost(Job& job);
   /// Probes wait at the machines that were there when they were drawn. If none of the job's tasks
   /// was assigned for a while, machines that show room are probed as well: they came up later or
   /// have become free.
-  void widen_search(Job& job);
+  void probe_further_machines(Job& job);
   /// A controller has rejected probes; `job` is null if it is not owned here any more.
   void on_rejected(Job* job, const messages::ProbesRejected& message);
 
@@ -37,13 +37,13 @@
   /// how many there was no machine.
   std::size_t redraw(Job& job, std::size_t count, int stage);
   /// Machines that a probe of this stage may be sent to.
-  std::vector<ids::DenseId> machines_of_stage(const Job& job,
-                                              const std::vector<ids::DenseId>& candidates,
-                                              int stage) const;
+  std::vector<ids::DenseId> machines_for_stage(const Job& job,
+                                               const std::vector<ids::DenseId>& candidates,
+                                               int stage) const;
   void send(Job& job, const std::vector<ids::DenseId>& machines, int stage);
   void apply_map(const messages::ProbesRejected::NewerMap& newer);
   /// Returns how many of these machines held a probe of the job.
-  std::size_t forget_probes(Job& job, const std::vector<std::string>& machines);
+  std::size_t remove_probes(Job& job, const std::vector<std::string>& machines);
 
   net::Runtime& runtime_;
   const wire::Settings& settings_;
--- a/src/jobs/quota.hpp
+++ b/src/jobs/quota.hpp
@@ -29,8 +29,8 @@
   }
   /// What all waiting tasks of each team need together, as of now: it is demanded at once, so that
   /// a thousand tasks do not take a hundred round trips.
-  void expect(std::map<std::string, Resources> waiting) {
-    share_.set_waiting_demand(std::move(waiting));
+  void set_pending_demand(std::map<std::string, Resources> waiting) {
+    share_.set_pending_demand(std::move(waiting));
   }
   /// What runs on machines and is counted by no owner: it is not granted.
   void set_orphaned_usage(OrphanedUsage orphaned_usage) {
@@ -42,17 +42,17 @@
   void release(const std::string& team, const Resources& need) { share_.release(team, need); }
 
   /// To be called once a second: returns what is not needed and asks for what is.
-  /// `all_tasks_known`: all that runs since `lost_since()` is known here.
+  /// `all_tasks_known`: all that runs since `recovery_epoch()` is known here.
   void tick(bool all_tasks_known) {
     if (!membership_.may_act()) return;
-    allocator_.try_to_recover(all_tasks_known);
-    share_.return_unneeded_and_report();
+    allocator_.finish_recovery_if_complete(all_tasks_known);
+    share_.release_unneeded_and_report();
   }
   /// The membership has a new epoch.
   void on_epoch_changed() { allocator_.on_epoch_changed(share_.on_epoch_changed()); }
   /// The newest epoch that lost a member, or got another leader: what was granted before it must
   /// be found again.
-  ids::EpochNumber lost_since() const { return allocator_.recovering_since(); }
+  ids::EpochNumber recovery_epoch() const { return allocator_.recovery_epoch(); }
   /// This controller leads, and grants nothing more until what was granted before is found.
   bool recovering() const { return allocator_.recovering(); }
   /// Some team's use is limited; otherwise quotas restrict nothing. Constant.
--- a/src/jobs/quota_allocator.cpp
+++ b/src/jobs/quota_allocator.cpp
@@ -23,17 +23,17 @@
       [this](const auto& from, const auto& message) { on_demand(from, message); });
 }
 
-bool QuotaAllocator::all_members_known() const {
+bool QuotaAllocator::all_members_reported() const {
   const auto& members = membership_.epoch().members;
   return std::all_of(members.begin(), members.end(), [&](const auto& controller) {
     const auto it = members_.find(controller);
-    return it != members_.end() && it->second.known;
+    return it != members_.end() && it->second.reported;
   });
 }
 
-void QuotaAllocator::try_to_recover(bool all_tasks_known) {
-  if (!recovering() || !all_tasks_known || !all_members_known()) return;
-  recovered_ = true;
+void QuotaAllocator::finish_recovery_if_complete(bool all_tasks_known) {
+  if (!recovering() || !all_tasks_known || !all_members_reported()) return;
+  recovery_finished_ = true;
   // Tasks of lost members were taken over and are counted by their new owners.
   std::erase_if(members_, [&](const auto& member) { return !membership_.is_member(member.first); });
   auto& own = members_[membership_.self()];
@@ -45,15 +45,15 @@
   // A member that joined was granted nothing yet. One that was lost had tasks that are known only
   // when all machines have shown them: nothing new is granted until then.
   if (!leader_changed && !membership_.lost_member()) return;
-  recovered_ = false;
-  recovering_since_ = membership_.epoch().number;
+  recovery_finished_ = false;
+  recovery_epoch_ = membership_.epoch().number;
 }
 
 void QuotaAllocator::on_demand(const cluster::ControllerId& from,
                                const messages::QuotaDemand& demand) {
   if (!membership_.is_leader()) return;
   auto& member = members_[from];
-  const bool current = !member.known || demand.serial == member.serial;
+  const bool current = !member.reported || demand.serial == member.serial;
   if (!current) {
     // The member does not know our last grant, which may have been lost: while it does not,
     // nothing that it says can be applied. A grant gives totals, so a second copy does no harm.
@@ -61,7 +61,7 @@
     return;
   }
   const bool granted_more = apply_demand(from, member, demand);
-  member.known = true;
+  member.reported = true;
   if (!granted_more) return;
   ++member.serial;
   send_grant(from, member);
@@ -76,7 +76,7 @@
     auto& granted = member.granted[team];
     // What this controller holds may have grown since it sent this, by tasks that it found running.
     granted = from == membership_.self() ? own_share_.held(team) : entry.held;
-    if (!recovered_) continue;
+    if (!recovery_finished_) continue;
     const auto free = free_quota(team, *limit);
     const double cpus = std::clamp(entry.wanted.cpus - granted.cpus, 0.0, std::max(0.0, free.cpus));
     const double accelerators = std::clamp(entry.wanted.accelerators - granted.accelerators, 0.0,
--- a/src/jobs/quota_allocator.hpp
+++ b/src/jobs/quota_allocator.hpp
@@ -26,22 +26,22 @@
   }
   /// Ends the recovery once it may. `all_tasks_known`: every task that may run is known to an
   /// owner, or counted as orphaned usage.
-  void try_to_recover(bool all_tasks_known);
+  void finish_recovery_if_complete(bool all_tasks_known);
   /// `leader_changed`: the new epoch has another leader than the one before.
   void on_epoch_changed(bool leader_changed);
   /// The newest epoch that lost a member, or got another leader.
-  ids::EpochNumber recovering_since() const { return recovering_since_; }
+  ids::EpochNumber recovery_epoch() const { return recovery_epoch_; }
   /// This controller leads, and grants nothing more until the recovery has ended.
-  bool recovering() const { return membership_.is_leader() && !recovered_; }
+  bool recovering() const { return membership_.is_leader() && !recovery_finished_; }
 
  private:
   struct MemberGrants {
     std::uint64_t serial = 0;   ///< of the last grant
-    bool known = false;         ///< it has said what it holds
+    bool reported = false;      ///< it has said what it holds
     net::Time grant_sent_at{};  ///< the last one
     std::map<std::string, wire::Resources> granted;
   };
-  bool all_members_known() const;
+  bool all_members_reported() const;
   void on_demand(const cluster::ControllerId& from, const messages::QuotaDemand& demand);
   /// Takes what the member says it holds, and grants of what it wants as much as is free; true if
   /// that is anything.
@@ -58,7 +58,7 @@
   QuotaShare& own_share_;
   OrphanedUsage orphaned_usage_;
   std::map<cluster::ControllerId, MemberGrants> members_;
-  bool recovered_ = false;
-  ids::EpochNumber recovering_since_{};
+  bool recovery_finished_ = false;
+  ids::EpochNumber recovery_epoch_{};
 };
 }  // namespace limemast::jobs
--- a/src/jobs/quota_share.cpp
+++ b/src/jobs/quota_share.cpp
@@ -48,8 +48,8 @@
 void QuotaShare::raise_wanted(const std::string& team, const Resources& limit,
                               const Resources& need, std::uint32_t waiting) {
   auto& share = teams_[team];
-  const auto found = waiting_demand_.find(team);
-  const auto all = found == waiting_demand_.end() ? Resources{} : found->second;
+  const auto found = pending_demand_.find(team);
+  const auto all = found == pending_demand_.end() ? Resources{} : found->second;
   const auto all_cpus = std::max(all.cpus, waiting * need.cpus);
   const auto all_accelerators = std::max(all.accelerators, waiting * need.accelerators);
   share.wanted.cpus =
@@ -76,7 +76,7 @@
   message_bus_.send(leader, demand);
 }
 
-void QuotaShare::return_unneeded_and_report() {
+void QuotaShare::release_unneeded_and_report() {
   for (auto& [team, share] : teams_) {
     share.held.cpus = std::min(share.held.cpus, std::max(share.used.cpus, share.wanted.cpus));
     share.held.accelerators = std::min(
--- a/src/jobs/quota_share.hpp
+++ b/src/jobs/quota_share.hpp
@@ -22,8 +22,8 @@
   /// included.
   bool may_use(const std::string& team, const wire::Resources& need, std::uint32_t waiting);
   /// What all waiting tasks of each team need together. It replaces the last such statement.
-  void set_waiting_demand(std::map<std::string, wire::Resources> waiting) {
-    waiting_demand_ = std::move(waiting);
+  void set_pending_demand(std::map<std::string, wire::Resources> waiting) {
+    pending_demand_ = std::move(waiting);
   }
   /// Counts a task that was assigned. Does not check that it is covered.
   void use(const std::string& team, const wire::Resources& need);
@@ -32,7 +32,7 @@
 
   /// Gives up what is held and neither used nor wanted, tells the leader, and forgets what was
   /// wanted: it is asked for anew by the next tasks that are refused.
-  void return_unneeded_and_report();
+  void release_unneeded_and_report();
   /// True if the epoch has another leader than the last one seen here.
   bool on_epoch_changed();
 
@@ -59,7 +59,7 @@
   cluster::Membership& membership_;
   cluster::MessageBus& message_bus_;
   std::map<std::string, TeamShare> teams_;
-  std::map<std::string, wire::Resources> waiting_demand_;
+  std::map<std::string, wire::Resources> pending_demand_;
   cluster::ControllerId last_leader_;  ///< whose grants `last_serial_` counts
   std::uint64_t last_serial_ = 0;      ///< of the newest grant applied; 0: none of this leader
   net::Time demand_sent_at_{};
--- a/src/jobs/refused_machines.cpp
+++ b/src/jobs/refused_machines.cpp
@@ -3,10 +3,10 @@
 namespace limemast::jobs {
 namespace {
 using namespace std::chrono_literals;
-constexpr auto kPause = 500ms;
+constexpr auto kRefusalBackoff = 500ms;
 /// What is held back for other owners shows here with the machine's next heartbeat: while there is
 /// none the pause is longer.
-constexpr auto kPauseWithoutHeartbeat = 5s;
+constexpr auto kRefusalBackoffWithoutHeartbeat = 5s;
 }  // namespace
 
 void RefusedMachines::record(const std::string& machine, net::Time now) {
@@ -20,12 +20,13 @@
   const auto* machine_status = registry_.find(machine);
   const bool no_heartbeat_since =
       machine_status && machine_status->heartbeat.sequence == it->second.sequence;
-  return now - it->second.at < (no_heartbeat_since ? kPauseWithoutHeartbeat : kPause);
+  return now - it->second.at <
+         (no_heartbeat_since ? kRefusalBackoffWithoutHeartbeat : kRefusalBackoff);
 }
 
-void RefusedMachines::forget_old(net::Time now) {
+void RefusedMachines::forget_expired(net::Time now) {
   std::erase_if(refusals_, [&](const auto& refusal) {
-    return now - refusal.second.at > kPauseWithoutHeartbeat;
+    return now - refusal.second.at > kRefusalBackoffWithoutHeartbeat;
   });
 }
 }  // namespace limemast::jobs
--- a/src/jobs/refused_machines.hpp
+++ b/src/jobs/refused_machines.hpp
@@ -16,7 +16,7 @@
   void record(const std::string& machine, net::Time now);
   /// No task should be placed there now.
   bool recently_refused(const std::string& machine, net::Time now) const;
-  void forget_old(net::Time now);
+  void forget_expired(net::Time now);
   void remove(const std::string& machine) { refusals_.erase(machine); }
 
  private:
--- a/src/jobs/retry_backoff.cpp
+++ b/src/jobs/retry_backoff.cpp
@@ -7,8 +7,8 @@
 namespace {
 using namespace std::chrono_literals;
 constexpr auto kAvoidMachineFor = 30s;
-constexpr auto kFirstPause = 250ms;
-constexpr unsigned kMaxDoublings = 7;
+constexpr auto kBackoffUnit = 250ms;
+constexpr unsigned kMaxBackoffExponent = 7;
 constexpr unsigned kFailsEverywhereMachines = 3;
 /// How much longer than the failures a trial must run to count as a success.
 constexpr auto kTrialMargin = 3s;
@@ -16,23 +16,23 @@
 
 bool record_failure(Job& job, const std::string& machine, net::Duration ran, net::Time now) {
   auto& retry = job.retry;
-  retry.failed_on[machine] = now;
-  retry.longest_failure = std::max(retry.longest_failure, ran);
-  const auto machines = static_cast<unsigned>(retry.failed_on.size());
+  retry.last_failure_by_machine[machine] = now;
+  retry.longest_failed_run = std::max(retry.longest_failed_run, ran);
+  const auto machines = static_cast<unsigned>(retry.last_failure_by_machine.size());
   if (machines > 1)
-    retry.retry_after = now + kFirstPause * (1U << std::min(machines, kMaxDoublings));
+    retry.retry_after = now + kBackoffUnit * (1U << std::min(machines, kMaxBackoffExponent));
   const bool failing = machines >= kFailsEverywhereMachines && job.completed_tasks == 0;
   return failing && !std::exchange(retry.fails_everywhere, true);
 }
 
-void forget_old_failures(Job& job, net::Time now) {
-  std::erase_if(job.retry.failed_on,
+void forget_expired_failures(Job& job, net::Time now) {
+  std::erase_if(job.retry.last_failure_by_machine,
                 [&](const auto& failure) { return now - failure.second > kAvoidMachineFor; });
 }
 
 bool failed_recently_on(const Job& job, const std::string& machine, net::Time now) {
-  const auto it = job.retry.failed_on.find(machine);
-  return it != job.retry.failed_on.end() && now - it->second < kAvoidMachineFor;
+  const auto it = job.retry.last_failure_by_machine.find(machine);
+  return it != job.retry.last_failure_by_machine.end() && now - it->second < kAvoidMachineFor;
 }
 
 bool may_start_another(const Job& job, net::Time now) {
@@ -40,7 +40,7 @@
   return std::all_of(job.assignments.begin(), job.assignments.end(), [&](const auto& entry) {
     const auto& assignment = entry.second;
     return assignment.running &&
-           now - assignment.running_since > 2 * job.retry.longest_failure + kTrialMargin;
+           now - assignment.running_since > 2 * job.retry.longest_failed_run + kTrialMargin;
   });
 }
 }  // namespace limemast::jobs
--- a/src/jobs/retry_backoff.hpp
+++ b/src/jobs/retry_backoff.hpp
@@ -9,7 +9,7 @@
 /// Returns true when the job begins to count as failing everywhere.
 bool record_failure(Job& job, const std::string& machine, net::Duration ran, net::Time now);
 /// Forgets failures that are too old to keep the job off their machine.
-void forget_old_failures(Job& job, net::Time now);
+void forget_expired_failures(Job& job, net::Time now);
 /// The job failed on this machine so lately that it is not assigned there.
 bool failed_recently_on(const Job& job, const std::string& machine, net::Time now);
 /// A job that has failed on several machines and completed nothing tries one task at a time, until
--- a/src/jobs/scheduling_order.cpp
+++ b/src/jobs/scheduling_order.cpp
@@ -11,20 +11,20 @@
 
 std::optional<net::WallTime> reachable_deadline(const ActiveJob& job,
                                                 const wire::Settings& settings, net::WallTime now) {
-  std::optional<net::WallTime> target;
+  std::optional<net::WallTime> deadline;
   const auto consider = [&](wire::Seconds within) {
     const auto at = job.submitted + net::to_duration(within);
     const bool reachable = now + net::to_duration(job.spec.estimate) <= at;
-    if (reachable && (!target || at < *target)) target = at;
+    if (reachable && (!deadline || at < *deadline)) deadline = at;
   };
   if (job.spec.due) {
     consider(*job.spec.due);
-    return target;
+    return deadline;
   }
   for (const auto& objective : settings.objectives)
     if (objective.kind == "finished" && objective.workload == job.spec.workload)
       consider(objective.within);
-  return target;
+  return deadline;
 }
 
 int last_resort_step(const wire::JobSpec& spec, const std::set<std::string>& underserved_classes,
@@ -39,7 +39,7 @@
                                  const std::set<std::string>& underserved_classes,
                                  TeamGuarantees& guarantees, net::WallTime now) {
   const auto& spec = job.record.spec;
-  const auto target = reachable_deadline(job.record, settings, now);
+  const auto deadline = reachable_deadline(job.record, settings, now);
   const bool has_target = spec.due || settings.expects_finish(spec.workload);
   const int rank = static_cast<int>(spec.rank);
   SchedulingOrder order;
@@ -48,8 +48,8 @@
   order.best_effort = settings.yields(spec);
   // What cannot be in time any more lets those pass that can: in a backlog everybody would be late
   // otherwise.
-  order.deadline_missed = has_target && !target;
-  order.target = target.value_or(net::WallTime::max());
+  order.deadline_missed = has_target && !deadline;
+  order.deadline = deadline.value_or(net::WallTime::max());
   order.rank = -rank;
   order.submitted = job.record.submitted;
   order.uid = spec.uid;
@@ -60,7 +60,7 @@
   return {urgent_rank * kLastResortSteps + last_resort,
           best_effort ? 1 : 0,
           deadline_missed ? 1 : 0,
-          milliseconds(target),
+          milliseconds(deadline),
           rank,
           milliseconds(submitted)};
 }
--- a/src/jobs/scheduling_order.hpp
+++ b/src/jobs/scheduling_order.hpp
@@ -21,7 +21,7 @@
   int last_resort = 0;           ///< while a class is underserved: see `last_resort_step`
   bool best_effort = false;      ///< preemptible work comes after all else
   bool deadline_missed = false;  ///< what can still be in time comes before what cannot
-  net::WallTime target{};        ///< earliest first; the maximum if there is none
+  net::WallTime deadline{};      ///< earliest first; the maximum if there is none
   int rank = 0;                  ///< negated, so that the highest comes first
   net::WallTime submitted{};     ///< earliest first
   std::string uid;               ///< unique
--- a/src/jobs/short_task_capacity.cpp
+++ b/src/jobs/short_task_capacity.cpp
@@ -8,7 +8,7 @@
 using namespace std::chrono_literals;
 /// A short job that has waited longer waits for something else than room: best-effort tasks are not
 /// stopped, or kept waiting, for it.
-constexpr auto kMaxWaitForRoom = 240s;
+constexpr auto kMaxWaitForCapacity = 240s;
 }  // namespace
 
 double ShortTaskCapacity::missing_cpus() const {
@@ -16,7 +16,7 @@
   const auto now = runtime_.wall();
   for (const auto& [uid, job] : job_directory_.all()) {
     if (job.ended || job.is_long || settings_.yields(job.spec) ||
-        now - job.submitted > kMaxWaitForRoom)
+        now - job.submitted > kMaxWaitForCapacity)
       continue;
     const auto waiting = std::min(job.pending_tasks.value_or(job.spec.tasks),
                                   job.unfinished.value_or(job.spec.tasks));
@@ -33,8 +33,8 @@
 void ShortTaskCapacity::reclaim() {
   auto missing = missing_cpus();
   // A moment's lack passes by itself, as short tasks end all the time.
-  const bool lacked_before = std::exchange(lacked_before_, missing > 0);
-  if (!lacked_before || missing <= 0) return;
+  const bool had_shortage = std::exchange(had_shortage_, missing > 0);
+  if (!had_shortage || missing <= 0) return;
   for (const auto& machine : reclaimable_machines()) {
     if (missing <= 0) break;
     missing -= registry_.free_resources(*machine.machine_status).cpus;
--- a/src/jobs/short_task_capacity.hpp
+++ b/src/jobs/short_task_capacity.hpp
@@ -42,6 +42,6 @@
   const cluster::JobDirectory& job_directory_;
   const machines::Registry& registry_;
   JobOwner& job_owner_;
-  bool lacked_before_ = false;  ///< in the last call of `reclaim`
+  bool had_shortage_ = false;  ///< in the last call of `reclaim`
 };
 }  // namespace limemast::jobs
--- a/src/jobs/slo_monitor.cpp
+++ b/src/jobs/slo_monitor.cpp
@@ -11,7 +11,7 @@
 constexpr auto kUpdateInterval = 3s;
 constexpr auto kWarningInterval = 60s;
 /// Below this served part of a class a warning is logged.
-constexpr double kWarnBelow = 0.6;
+constexpr double kWarningThreshold = 0.6;
 /// Without a deadline or an objective a task should be done this long after its estimate, and a
 /// replica be up within it.
 constexpr wire::Seconds kDefaultAllowance{60};
@@ -33,7 +33,7 @@
       pending_reasons_(pending_reasons),
       capacity_diagnosis_(capacity_diagnosis) {}
 
-const Job* SloMonitor::own_job(const std::string& uid) const {
+const Job* SloMonitor::owned_job(const std::string& uid) const {
   const auto it = job_owner_.jobs().find(uid);
   return it == job_owner_.jobs().end() ? nullptr : it->second.get();
 }
@@ -62,7 +62,7 @@
   if (job.ended) return observe_ended(uid, job, now);
   if (!job.spec_known) return;
   const auto& spec = job.spec;
-  const auto* own = own_job(uid);
+  const auto* own = owned_job(uid);
   const auto pending = own ? own->pending() : job.pending_tasks.value_or(spec.tasks);
   const auto unfinished = own ? own->unfinished() : job.unfinished.value_or(spec.tasks);
   // A job that fails wherever it starts cannot be served by anybody; its owner tries one task at a
@@ -103,7 +103,7 @@
   for (const auto& [name, sums] : slo_attainment_.classes()) {
     const auto served = sums.window.served();
     if (!served) continue;
-    if (*served >= kWarnBelow) {
+    if (*served >= kWarningThreshold) {
       if (warned_at_.erase(name) > 0)
         spdlog::info("class {} is served again: {:.2f}, epoch {}", name, *served,
                      membership_.epoch().number);
@@ -133,7 +133,7 @@
   std::array<double, diagnostics::kPendingReasons> tasks{};
   for (const auto& [uid, job] : job_directory_.all()) {
     if (!job.needs_capacity() || job.spec.workload != workload) continue;
-    const auto* own = own_job(uid);
+    const auto* own = owned_job(uid);
     const auto pending = own ? own->pending() : job.pending_tasks.value_or(job.spec.tasks);
     if (pending == 0) continue;
     tasks.at(static_cast<std::size_t>(pending_reason(uid, job, own, pending))) += pending;
--- a/src/jobs/slo_monitor.hpp
+++ b/src/jobs/slo_monitor.hpp
@@ -24,7 +24,7 @@
 
  private:
   /// Our own job owner's entry; nullptr if another member owns the job.
-  const Job* own_job(const std::string& uid) const;
+  const Job* owned_job(const std::string& uid) const;
   diagnostics::SloAttainment::Work work_of(const ActiveJob& job) const;
   void observe(const std::string& uid, const ActiveJob& job, net::WallTime now);
   void observe_ended(const std::string& uid, const ActiveJob& job, net::WallTime now);
--- a/src/jobs/task_dispatcher.cpp
+++ b/src/jobs/task_dispatcher.cpp
@@ -131,17 +131,17 @@
   assignment.zone = machine_status.heartbeat.zone;
   assignment.incarnation = machine_status.heartbeat.incarnation;
   assignment.attempt = next_attempt(job);
-  assignment.deliverer = machine_status.attached_controller;
+  assignment.delivering_controller = machine_status.attached_controller;
   job.last_progress = runtime_.now();
   const auto& uid = job.record.spec.uid;
   spdlog::debug("{} job {} task {} assigned to {} by {}, barrier epoch {}, epoch {}",
-                membership_.self(), uid, index, assignment.machine, assignment.deliverer,
-                job.barrier_epoch, membership_.epoch().number);
+                membership_.self(), uid, index, assignment.machine,
+                assignment.delivering_controller, job.barrier_epoch, membership_.epoch().number);
   delivery_monitor_.watch(uid, index, assignment.attempt);
   auto start = start_message(job, index, assignment, evict);
   start.pulled = trigger == Trigger::Pull;
   start.sent_at = runtime_.wall();
-  message_bus_.send(assignment.deliverer, start);
+  message_bus_.send(assignment.delivering_controller, start);
   owned_jobs_.assign(job, index, std::move(assignment));
   if (job.pending() == 0) pending_reasons_.record(job);
 }
--- a/src/jobs/team_guarantees.cpp
+++ b/src/jobs/team_guarantees.cpp
@@ -6,8 +6,8 @@
 bool TeamGuarantees::covers(const wire::JobSpec& spec) {
   const auto& team = settings_.teams.at(spec.team);
   if (team.cpus <= 0 && team.accelerators <= 0) return false;
-  const auto [it, fresh] = used_.try_emplace(spec.team);
-  if (fresh) it->second = sum_running(spec.team);
+  const auto [it, inserted] = used_.try_emplace(spec.team);
+  if (inserted) it->second = sum_running(spec.team);
   auto used = it->second;
   used += Resources::of(spec);
   return used.cpus <= team.cpus + Resources::kTolerance &&
--- a/tests/jobs/retry_backoff_test.cpp
+++ b/tests/jobs/retry_backoff_test.cpp
@@ -43,11 +43,11 @@
 
 TEST_F(RetryBackoff, AFailureIsForgottenAfterHalfAMinute) {
   fails_on("a");
-  forget_old_failures(job_, now_ + 30s);
-  EXPECT_TRUE(job_.retry.failed_on.contains("a"));
+  forget_expired_failures(job_, now_ + 30s);
+  EXPECT_TRUE(job_.retry.last_failure_by_machine.contains("a"));
   EXPECT_FALSE(failed_recently_on(job_, "a", now_ + 30s));
-  forget_old_failures(job_, now_ + 31s);
-  EXPECT_TRUE(job_.retry.failed_on.empty());
+  forget_expired_failures(job_, now_ + 31s);
+  EXPECT_TRUE(job_.retry.last_failure_by_machine.empty());
 }
 
 TEST_F(RetryBackoff, AJobThatFailsOnThreeMachinesFailsEverywhereOnce) {
