--- a/src/jobs/delivery_monitor.cpp
+++ b/src/jobs/delivery_monitor.cpp
@@ -33,7 +33,7 @@
   if (it == job->assignments.end()) return nullptr;
   const auto& assignment = it->second;
   if (assignment.attempt != start.attempt || assignment.confirmed) return nullptr;
-  // A start that a lost member was to deliver is resolved by heartbeats of the epoch without it.
+  // If the delivering member was lost, heartbeats of the epoch without it resolve the start.
   return membership_.is_member(assignment.delivering_controller) ? &assignment : nullptr;
 }
 
@@ -62,7 +62,7 @@
   if (assignment.attempt != message.attempt || assignment.delivering_controller != from ||
       assignment.confirmed)
     return;
-  // A copy: what follows may end the assignment.
+  // Copied, because the calls below may end the assignment.
   const auto machine = assignment.machine;
   if (!message.arrived) {
     refused_machines_.record(machine, runtime_.now());
@@ -71,7 +71,7 @@
   }
   assignment.confirmed = true;
   assignment.confirmed_sequence = message.sequence;
-  // The heartbeat that is known here may be newer than the one that proved the arrival.
+  // The registry may hold a newer heartbeat than the one that proved the arrival.
   heartbeat_reconciler_.on_heartbeat(machine);
 }
 }  // namespace limemast::jobs
--- a/src/jobs/delivery_monitor.hpp
+++ b/src/jobs/delivery_monitor.hpp
@@ -1,22 +1,21 @@
 #pragma once
-// Starts that are sent and not acknowledged yet.
+// Tracks starts that were sent and are not resolved yet.
 #include <deque>
 
 #include "jobs/heartbeat_reconciler.hpp"
 #include "jobs/refused_machines.hpp"
 
 namespace limemast::jobs {
-/// Watches each start until it is proved whether it reached its machine, and asks its
-/// delivering_controller about it every 3 s: the delivering_controller's own message may have been
-/// lost.
+/// Tracks each start until it is proved whether it reached its machine. Queries the delivering
+/// controller about it every 3 s, because that controller's own message may have been lost.
 class DeliveryMonitor {
  public:
   DeliveryMonitor(net::Runtime& runtime, cluster::Membership& membership,
                   cluster::MessageBus& message_bus, OwnedJobs& owned_jobs,
                   HeartbeatReconciler& heartbeat_reconciler, RefusedMachines& refused_machines);
-  /// A start of this attempt is being sent.
+  /// Begins to track a start that is being sent.
   void watch(const std::string& uid, std::uint32_t index, std::uint64_t attempt);
-  /// Asks about starts that are unresolved for long enough. Once a second.
+  /// Queries starts that have been unresolved for long enough. To be called once a second.
   void tick();
 
  private:
@@ -27,8 +26,7 @@
     std::uint64_t attempt = 0;
   };
   void on_resolved(const ControllerId& from, const messages::StartResolved& message);
-  /// The assignment that the start belongs to, if asking its delivering_controller about it is of
-  /// use.
+  /// The assignment that the start belongs to, or nullptr if it needs no query.
   const TaskAssignment* assignment_to_query(const UnresolvedStart& start) const;
 
   net::Runtime& runtime_;
@@ -37,7 +35,8 @@
   OwnedJobs& owned_jobs_;
   HeartbeatReconciler& heartbeat_reconciler_;
   RefusedMachines& refused_machines_;
-  /// In the order of `query_at`. A start that was resolved meanwhile stays until then.
+  /// In the order of `query_at`. A start that was resolved in the meantime is dropped when its
+  /// query is due.
   std::deque<UnresolvedStart> unresolved_;
 };
 }  // namespace limemast::jobs
--- a/src/jobs/failover_barrier_state.cpp
+++ b/src/jobs/failover_barrier_state.cpp
@@ -23,8 +23,8 @@
   for (const auto& [name, registered] : registry_.all_registered()) {
     const auto it = confirmed_.find(name);
     const auto shown = it == confirmed_.end() ? ids::kNoToken : it->second;
-    // Nobody commands a machine before it is registered: one that was registered since the
-    // takeover holds nothing from before.
+    // A machine gets no commands before it is registered, so one that was registered after the
+    // takeover holds no earlier tasks.
     const auto token = std::max(shown, ids::FencingToken::base(registered.epoch));
     least.all = std::min(least.all, token);
     if (!registered.spot) least.on_demand = std::min(least.on_demand, token);
@@ -50,9 +50,9 @@
 
 bool FailoverBarrierState::passed(const Job& job) const {
   if (job.barrier_epoch == ids::kNoEpoch) return true;
-  // A job that may not use spot machines has never had a task on one. Spot machines that were
-  // preempted together, and whose silence proves nothing yet, must not delay services after a
-  // change of leader.
+  // A job that may not use spot machines never had a task on one. If it waited for spot machines
+  // that were preempted together, whose silence proves nothing yet, services would be delayed after
+  // a change of leader.
   return job.record.spec.spot ? confirmed_by_all(job.barrier_epoch)
                               : confirmed_by_on_demand(job.barrier_epoch);
 }
--- a/src/jobs/failover_barrier_state.hpp
+++ b/src/jobs/failover_barrier_state.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Which machines have confirmed which membership epoch to this owner.
+// Tracks which machines have confirmed which membership epoch to this owner.
 #include <optional>
 #include <string>
 #include <unordered_map>
@@ -7,10 +7,10 @@
 #include "jobs/job.hpp"
 
 namespace limemast::jobs {
-/// The failover barrier of the jobs that this controller took over. A former owner may have
-/// assigned tasks that nobody here knows of. So tasks of such a job are assigned only once every
+/// The failover barrier of the jobs that this controller took over. Their former owner may have
+/// assigned tasks that no present owner knows. Tasks of such a job are assigned only after every
 /// registered machine has confirmed the epoch in which the job was taken over, or a later one: its
-/// heartbeat carried a fencing token of that epoch, and all tasks that it showed were taken in
+/// heartbeat carried a fencing token of that epoch, and all tasks in that heartbeat were reconciled
 /// here.
 ///
 /// Which machines the barrier stops waiting for is decided by failover::FailoverBarrier.
@@ -18,28 +18,28 @@
  public:
   explicit FailoverBarrierState(const machines::Registry& registry) : registry_(registry) {}
 
-  /// All that the machine's heartbeat with this token showed is taken in.
+  /// To be called when all tasks in the machine's heartbeat with this token were reconciled.
   void confirm(const std::string& machine, ids::FencingToken token);
   void remove(const std::string& machine);
-  /// The set of registered machines has changed.
+  /// To be called when the set of registered machines has changed.
   void on_registrations_changed() { least_confirmed_.reset(); }
 
-  /// Every registered machine has confirmed this epoch or a later one.
+  /// Whether every registered machine has confirmed this epoch or a later one.
   bool confirmed_by_all(ids::EpochNumber epoch) const;
-  /// Likewise, spot machines left out.
+  /// Whether every registered on-demand machine has confirmed this epoch or a later one.
   bool confirmed_by_on_demand(ids::EpochNumber epoch) const;
-  /// This machine has.
+  /// Whether this machine has confirmed this epoch or a later one.
   bool confirmed_by(const std::string& machine, ids::EpochNumber epoch) const;
-  /// No task of the job can be on a machine without this owner's knowledge.
+  /// Whether this owner knows every task of the job that may be on a machine.
   bool passed(const Job& job) const;
 
-  /// The epoch that machines must confirm before all waiting work may be assigned; kNoEpoch if
-  /// nothing waits for them. Decided by JobOwner at each tick.
+  /// The epoch that machines must confirm before all pending tasks may be assigned; kNoEpoch if no
+  /// task waits for a confirmation. JobOwner sets it in each tick.
   ids::EpochNumber awaited_epoch() const { return awaited_epoch_; }
   void set_awaited_epoch(ids::EpochNumber epoch) { awaited_epoch_ = epoch; }
 
  private:
-  /// The smallest token that any machine of a group has confirmed.
+  /// The lowest token that any machine of the group has confirmed.
   struct LeastConfirmed {
     ids::FencingToken on_demand{};
     ids::FencingToken all{};
--- a/src/jobs/heartbeat_reconciler.cpp
+++ b/src/jobs/heartbeat_reconciler.cpp
@@ -8,15 +8,17 @@
 
 namespace limemast::jobs {
 namespace {
-/// A machine may be preempted before its notice says: only this part of the time left is relied on.
+/// A machine may be preempted earlier than announced, so only this fraction of the remaining notice
+/// is relied on.
 constexpr double kUsableNoticeFraction = 0.8;
 
-/// The exit completes the task. A replica of a service is never complete.
+/// Whether the exit completes the task. Replicas of a service never complete.
 bool completes(const Job& job, const wire::TaskStatus& task) {
   return task.exit_cause == wire::ExitCause::Done && !job.record.spec.service;
 }
 
-/// The exit counts as a failure of the task, not as a refusal of the machine or a stop.
+/// Whether the exit counts as a failure of the task, as opposed to a refusal by the machine or a
+/// stop.
 bool is_failure(wire::ExitCause cause) {
   return cause == wire::ExitCause::Error || cause == wire::ExitCause::NoSuch ||
          cause == wire::ExitCause::Done;
@@ -51,18 +53,19 @@
   for (const auto& [uid, index] : owned_jobs_.tasks_on(machine))
     if (auto* job = owned_jobs_.find(uid)) reconcile_assigned(*job, index, *machine_status);
 
-  // A machine is registered before its first command. One that shows tasks and is not registered
-  // was terminated, and this is an old heartbeat that reached a controller which has never heard of
-  // it; or our watch cache lags. Nothing is concluded before it is registered: an assignment to a
-  // machine that is gone would never end, as only the removal of its record proves it gone (test:
-  // StaleHeartbeatsAtNewLeader.DoNotBringTerminatedMachinesBack).
+  // A machine is registered before it gets its first command. An unregistered machine that shows
+  // tasks was therefore terminated, and a stale heartbeat has reached a controller that never knew
+  // it, or the watch cache lags. Its tasks are not reconciled before it is registered: an
+  // assignment to a terminated machine would never end, because only the removal of the machine's
+  // record ends it (test: StaleHeartbeatsAtNewLeader.DoNotBringTerminatedMachinesBack).
   if (!heartbeat.tasks.empty() && !registry_.registered(machine)) {
     machines_to_reprocess_.insert(machine);
     return;
   }
   for (const auto& task : heartbeat.tasks) reconcile_observed(task, *machine_status);
-  // The machine counts as confirmed only now that all that it shows is taken in. The registry knows
-  // the heartbeat earlier than this owner, and a task assigned in between would run twice.
+  // The machine is confirmed only after all its tasks are reconciled. If it were confirmed as soon
+  // as the registry stores the heartbeat, a task that already runs on it could be assigned again
+  // and run twice.
   failover_barrier_.confirm(machine, heartbeat.fencing_token);
 }
 
@@ -113,8 +116,8 @@
   const bool was_running = std::exchange(assignment.running, task.runs());
   if (heartbeat.preemption_notice && !task.exited())
     stop_before_preemption(job.record.spec, assignment, task, heartbeat);
-  // An exit counts once the delivery is resolved: until then the same start may still be on its
-  // way. This may end the assignment.
+  // An exit is recorded only after the delivery is resolved, because until then the same start may
+  // still be in flight. `on_exit` may end the assignment.
   if (task.exited() && assignment.confirmed) on_exit(job, index, task, heartbeat.machine);
   if (was_running != task.runs()) clear_image_wait(job);
 }
@@ -125,9 +128,8 @@
     pending_reasons_.clear_if(spec.uid, diagnostics::PendingReason::Image, runtime_.now());
 }
 
-/// A task that cannot finish before the machine is preempted is stopped now. It saves its state if
-/// it can, and is started elsewhere in any case, long before the machine's silence would prove it
-/// lost.
+/// Stops a task that cannot finish before its machine is preempted. The task saves its state if it
+/// can and is then started elsewhere, long before the machine's silence would prove it lost.
 void HeartbeatReconciler::stop_before_preemption(const wire::JobSpec& spec,
                                                  TaskAssignment& assignment,
                                                  const wire::TaskStatus& task,
@@ -145,15 +147,16 @@
 void HeartbeatReconciler::reconcile_observed(const wire::TaskStatus& task,
                                              const MachineStatus& machine_status) {
   const auto& machine = machine_status.heartbeat.machine;
-  // Most tasks that a controller reads of are of other owners' jobs: those are skipped first. A job
-  // that has ended is left to the controller that the machine is attached to; one that was not
-  // taken up yet will be read of again.
+  // Most tasks in heartbeats belong to jobs of other owners, so those are skipped first. If the job
+  // has ended, the controller that the machine is attached to handles the task. If the job is not
+  // owned here yet, a later heartbeat shows the task again.
   auto* job = owned_jobs_.find(task.uid);
   if (!job || job_directory_.owner_of(task.uid) != membership_.self()) return;
-  // This holds also while we may not act, as when lease renewals are answered late. The heartbeat
-  // counts as read afterwards, so a task that was left out here would be unknown, and would run
-  // twice once we may act again (test: RandomFaultPairs.BreakNoInvariant). Commands that follow are
-  // sent by whoever may act.
+  // Tasks are reconciled even while this controller may not act, for example when lease renewals
+  // are answered late. The heartbeat counts as processed afterwards, so a task skipped here would
+  // stay unknown and would run twice once this controller may act again (test:
+  // RandomFaultPairs.BreakNoInvariant). The resulting commands are delivered by a controller that
+  // may act.
   if (job->completed || task.index >= job->record.spec.tasks) return;
   if (owned_jobs_.is_assigned(machine, task)) return;
   if (task.exited()) return on_unassigned_exit(*job, task, machine_status);
@@ -193,17 +196,17 @@
   assignment.void_from_token = barrier_token;
   assignment.running = task.runs();
   assignment.running_since = runtime_.now();
-  spdlog::debug("job {} task {} found on {}, epoch {}", task.uid, task.index, heartbeat.machine,
-                membership_.epoch().number);
+  spdlog::debug("job {} task {}: adopted from the heartbeat of machine {}, epoch {}", task.uid,
+                task.index, heartbeat.machine, membership_.epoch().number);
   owned_jobs_.assign(job, task.index, std::move(assignment));
   std::erase(job.queue.released, task.index);
 }
 
-/// Attempts of a task only grow, and a new one is made only once the one before is proved gone: the
-/// higher one is the newer, whichever heartbeat came first. A new owner may adopt the task from an
-/// old heartbeat of one machine while it runs on another under a higher attempt; stopping that one
-/// would start the task anew for nothing (test:
-/// StaleHeartbeatsAtNewLeader.LoseToNewerObservations).
+/// The attempt number of a task only increases, and a new attempt starts only after the previous
+/// one is proved gone. The higher attempt is therefore the newer one, whichever heartbeat arrives
+/// first. A new owner may adopt a task from a stale heartbeat of one machine while the task runs on
+/// another machine under a higher attempt. Stopping that one would restart the task needlessly
+/// (test: StaleHeartbeatsAtNewLeader.LoseToNewerObservations).
 void HeartbeatReconciler::on_conflicting_observation(Job& job, const wire::TaskStatus& task,
                                                      const MachineStatus& machine_status) {
   const auto& machine = machine_status.heartbeat.machine;
@@ -212,8 +215,8 @@
     release(job, task.index, Requeue::No);
     return adopt_orphan(job, task, machine_status);
   }
-  // The tasks of a gang share one attempt, so the same attempt may be shown twice, and nothing
-  // tells which observation is true.
+  // All tasks of a gang share one attempt number, so two machines may show the same attempt of a
+  // task, and the number does not show which of them is current.
   if (task.attempt == assigned_attempt)
     job.conflicting_observations[task.index].insert(machine);
   else
@@ -224,7 +227,8 @@
   const auto released = owned_jobs_.unassign(job, index);
   if (!released) return;
   spdlog::debug(
-      "job {} task {} released from {} (confirmed {}, sequence {}, void from {}), epoch {}",
+      "job {} task {}: assignment to machine {} ended (confirmed: {}, confirming heartbeat: {}, "
+      "void from token: {}), epoch {}",
       job.record.spec.uid, index, released->machine, released->confirmed,
       released->confirmed_sequence, released->void_from_token, membership_.epoch().number);
   auto observations = job.conflicting_observations.extract(index);
@@ -254,7 +258,7 @@
 void HeartbeatReconciler::on_exit(Job& job, std::uint32_t index, const wire::TaskStatus& task,
                                   const std::string& machine) {
   const auto& uid = job.record.spec.uid;
-  spdlog::debug("job {} task {} exited on {}: {}, epoch {}", uid, index, machine,
+  spdlog::debug("job {} task {}: exited on machine {}, cause {}, epoch {}", uid, index, machine,
                 wire::name_of(task.exit_cause), membership_.epoch().number);
   const auto it = job.assignments.find(index);
   const auto ran = it != job.assignments.end() && it->second.running
@@ -267,10 +271,10 @@
   else if (is_failure(task.exit_cause))
     on_failure(job, index, machine, ran);
   else if (is_refusal(task.exit_cause))
-    spdlog::debug("job {} task {} refused by {}, epoch {}", uid, index, machine,
-                  membership_.epoch().number);
-  // The command to forget the task is sent by reconcile_observed, with the same heartbeat, unless
-  // its completion has yet to be recorded.
+    spdlog::debug("job {} task {}: refused by machine {}, to be assigned again, epoch {}", uid,
+                  index, machine, membership_.epoch().number);
+  // `reconcile_observed` sends the command to forget the task while it processes the same
+  // heartbeat, unless the completion of the task is not recorded yet.
 }
 
 void HeartbeatReconciler::on_failure(Job& job, std::uint32_t index, const std::string& machine,
@@ -278,10 +282,13 @@
   const auto& uid = job.record.spec.uid;
   const auto epoch = membership_.epoch().number;
   if (record_failure(job, machine, ran, runtime_.now()))
-    spdlog::info("job {} fails on every machine, task {} now on {}: one task at a time, epoch {}",
-                 uid, index, machine, epoch);
+    spdlog::info(
+        "job {} failed on several machines, last with task {} on machine {}; from now on its "
+        "tasks are tried one at a time, epoch {}",
+        uid, index, machine, epoch);
   else if (!job.retry.fails_everywhere)
-    spdlog::info("job {} task {} failed on {}, epoch {}", uid, index, machine, epoch);
+    spdlog::info("job {} task {} failed on machine {} and will be retried, epoch {}", uid, index,
+                 machine, epoch);
 }
 
 void HeartbeatReconciler::command_worker(const std::string& machine, const wire::TaskStatus& task,
@@ -306,7 +313,8 @@
           membership_.is_member(assignment.delivering_controller))
         continue;
       assignment.void_from_token = token;
-      // Its machine may have shown the new epoch to another controller before we learned of it.
+      // The machine may have sent a heartbeat of the new epoch before this controller learned of
+      // the epoch.
       machines_to_reprocess_.insert(assignment.machine);
     }
 }
@@ -318,7 +326,7 @@
   machines_to_reprocess_.erase(machine);
   const auto* machine_status = registry_.find(machine);
   if (!machine_status) return;
-  // Its id will be given to another machine.
+  // The registry may reuse the machine's id for another machine.
   for (const auto& [uid, job] : owned_jobs_.all()) job->probing.machines.erase(machine_status->id);
   if (machine_status->id < attached_controllers_.size())
     attached_controllers_[machine_status->id] = {};
--- a/src/jobs/heartbeat_reconciler.hpp
+++ b/src/jobs/heartbeat_reconciler.hpp
@@ -1,17 +1,17 @@
 #pragma once
-// Compares what heartbeats show with what is assigned, and acts on the difference.
+// Reconciles task assignments with the tasks that machines report in their heartbeats.
 #include "diagnostics/pending_reason_table.hpp"
 #include "jobs/failover_barrier_state.hpp"
 #include "jobs/job_completion.hpp"
 #include "messages/tasks.hpp"
 
 namespace limemast::jobs {
-/// Whether a task whose assignment ends is to be assigned again.
+/// Whether a task returns to its job's queue when its assignment ends.
 enum class Requeue { Yes, No };
 
-/// Reconciles the assignments of owned jobs with the machines' heartbeats: starts are confirmed,
-/// orphaned tasks adopted, duplicates stopped, exits and failures recorded. An assignment ends only
-/// by proof (machines/delivery_resolution.hpp).
+/// Reconciles the assignments of owned jobs with the heartbeats of machines: confirms starts,
+/// adopts orphaned tasks, stops duplicates, and records exits and failures. An assignment ends only
+/// on one of the proofs listed in machines/delivery_resolution.hpp.
 class HeartbeatReconciler {
  public:
   HeartbeatReconciler(net::Runtime& runtime, cluster::Membership& membership,
@@ -20,45 +20,51 @@
                       diagnostics::PendingReasonTable& pending_reasons, OwnedJobs& owned_jobs,
                       FailoverBarrierState& failover_barrier, JobCompletion& job_completion);
 
-  /// Reads the machine's newest heartbeat, which the registry has taken in.
+  /// Reconciles with the machine's newest heartbeat, which must already be in the registry.
   void on_heartbeat(const std::string& machine);
-  /// The machine is gone for good, and all that was on it.
+  /// Ends all assignments to a machine that was terminated, since its tasks ended with it.
   void on_machine_removed(const std::string& machine);
-  /// Starts that a lost member was to deliver are resolved by heartbeats of the new epoch.
+  /// Marks the unconfirmed starts that lost members were to deliver, so that heartbeats with a
+  /// token of the new epoch resolve them.
   void on_epoch_changed();
-  /// Reads heartbeats again from which something could not be concluded yet. Once a second.
+  /// Processes again the heartbeats of machines for which a step was deferred. To be called once a
+  /// second.
   void reprocess_heartbeats();
-  /// Ends the assignment of a task, if there is one.
+  /// Ends the assignment of a task. Does nothing if the task is not assigned.
   void release(Job& job, std::uint32_t index, Requeue requeue);
-  /// Sends the machine a command for this task. `grace_period`: how long the task may take to save
-  /// its state when it is stopped.
+  /// Sends a command for this task through the controller that the machine is attached to.
+  /// `grace_period`: how long a stopped task may take to save its state.
   void command_worker(const std::string& machine, const wire::TaskStatus& task,
                       wire::CommandKind kind, wire::Seconds grace_period = wire::Seconds(0));
 
  private:
-  /// The probes that the machine's former controller had queued are gone.
+  /// If the machine is now attached to another controller, forgets which jobs have probes at it,
+  /// because the former controller's probe queue is gone.
   void update_attached_controller(const MachineStatus& machine_status);
-  /// What the heartbeat shows of a task that is assigned to the machine.
+  /// Applies the heartbeat to a task that is assigned to the machine.
   void reconcile_assigned(Job& job, std::uint32_t index, const MachineStatus& machine_status);
   void confirm(Job& job, std::uint32_t index, TaskAssignment& assignment,
                const wire::TaskStatus& task, const wire::Heartbeat& heartbeat);
-  /// The heartbeat shows the task, but its delivery is not resolved by it.
+  /// Updates the task's running state from a heartbeat that does not resolve the delivery of its
+  /// start.
   void observe_unresolved(Job& job, std::uint32_t index, TaskAssignment& assignment,
                           const wire::TaskStatus& task, const wire::Heartbeat& heartbeat);
   void stop_before_preemption(const wire::JobSpec& spec, TaskAssignment& assignment,
                               const wire::TaskStatus& task, const wire::Heartbeat& heartbeat);
-  /// Nothing of the job waits for an image any more once all its tasks run.
+  /// Clears the pending reason `Image` once every task of the job runs or is complete.
   void clear_image_wait(const Job& job);
-  /// A task that the heartbeat shows, whether or not it is assigned.
+  /// Applies the heartbeat to a task that it shows, whether or not the task is assigned.
   void reconcile_observed(const wire::TaskStatus& task, const MachineStatus& machine_status);
   void on_unassigned_exit(Job& job, const wire::TaskStatus& task,
                           const MachineStatus& machine_status);
-  /// Takes over a task that runs on the machine and is not assigned.
+  /// Assigns to the machine a task that it already runs and that has no assignment.
   void adopt_orphan(Job& job, const wire::TaskStatus& task, const MachineStatus& machine_status);
-  /// The machine shows a task that is assigned elsewhere, or under another attempt.
+  /// Handles a task that the machine shows while it is assigned to another machine or under another
+  /// attempt.
   void on_conflicting_observation(Job& job, const wire::TaskStatus& task,
                                   const MachineStatus& machine_status);
-  /// Adopts the task where a conflicting observation still shows it. False if there is none.
+  /// Adopts the task on the first of these machines whose newest heartbeat shows the attempt and no
+  /// exit of it. Returns false if there is none.
   bool adopt_conflicting(Job& job, std::uint32_t index, std::uint64_t attempt,
                          std::set<std::string> machines);
   void on_exit(Job& job, std::uint32_t index, const wire::TaskStatus& task,
@@ -74,9 +80,10 @@
   OwnedJobs& owned_jobs_;
   FailoverBarrierState& failover_barrier_;
   JobCompletion& job_completion_;
-  /// Machines whose newest heartbeat must be read again though no newer one may come.
+  /// Machines whose newest heartbeat must be processed again even if no newer one arrives.
   std::set<std::string> machines_to_reprocess_;
-  /// By the machine's id: the controller it was attached to when its heartbeat was last read.
+  /// By machine id: the controller that the machine was attached to when its last heartbeat was
+  /// processed.
   std::vector<ControllerId> attached_controllers_;
 };
 }  // namespace limemast::jobs
--- a/src/jobs/job_owner.cpp
+++ b/src/jobs/job_owner.cpp
@@ -74,7 +74,7 @@
   return owned_jobs_.add(std::move(job));
 }
 
-/// A former owner that is lost may have assigned tasks, and may have saved which are complete.
+/// The lost former owner may have assigned tasks and may have recorded which ones are complete.
 void JobOwner::apply_failover_barrier(Job& job) {
   job.barrier_epoch = membership_.epoch().number;
   job.completions.loaded = job.record.spec.service;
@@ -95,8 +95,8 @@
   }
   if (any_to_load) completion_recorder_.load();
   if (!any_blocked) return;
-  // A machine may have shown the new epoch before this controller learned of it: what it holds must
-  // be taken in all the same.
+  // A machine may have sent a heartbeat of the new epoch before this controller learned of the
+  // epoch. Its tasks are reconciled now, because they were skipped then.
   for (const auto& [machine, status] : registry_.machine_statuses())
     heartbeat_reconciler_.on_heartbeat(machine);
 }
@@ -149,8 +149,8 @@
 
 bool JobOwner::can_be_erased(const Job& job) const {
   if (!job.completed || !job.assignments.empty()) return false;
-  // Not before the watch cache shows the end as well: the job would be taken up again from its
-  // active record.
+  // The watch cache must show the end too. Otherwise the job would be added again from its active
+  // record.
   const auto* record = job_directory_.find(job.record.spec.uid);
   return !record || record->ended;
 }
@@ -163,8 +163,8 @@
     const double tasks = job.unfinished() == 1 ? 1 : job.pending();
     summary.pending_resources[spec.team] += {tasks * spec.cpus, 0, tasks * spec.accelerators};
   }
-  // Reasons of long jobs are recorded by the leader's placement, which does nothing while it may
-  // not act.
+  // The leader's scheduler records the pending reasons of long jobs, but it does not run while this
+  // controller may not act.
   if (job.record.is_long && !membership_.may_act()) pending_reasons_.record(job);
   if (!job.record.is_long && job.active()) update_short_job(job, summary);
 }
@@ -175,18 +175,19 @@
   if (pending_reasons_.enabled()) pending_reasons_.record(job);
   if (!membership_.may_act()) return;
   prober_.resend_if_lost(job);
-  // No further probes before tasks may be assigned: every machine would pull a job that was taken
-  // over, in vain.
+  // Sends no further probes before tasks may be assigned, since all pulls would be refused until
+  // then.
   if (!job.completions.loaded || !failover_barrier_.passed(job)) return;
   prober_.top_up(job);
-  // Room elsewhere is of no use to what the team's quota holds back.
+  // Probing further machines does not help while the team's quota blocks the job.
   if (!job.quota_refused_recently(runtime_.now()) && may_assign(job))
     prober_.probe_further_machines(job);
 }
 
 bool JobOwner::update_failover_barrier(bool work_pending) {
-  // What a lost owner had assigned is known, and counted by some owner, once every machine has
-  // confirmed the epoch without it. Members that joined since then had nothing assigned.
+  // Every task that a lost owner had assigned is known to some owner, and counted, once every
+  // machine has confirmed the epoch without that owner. Members that joined later had assigned
+  // nothing.
   auto awaited = ids::kNoEpoch;
   bool all_tasks_known = failover_barrier_.confirmed_by_all(quota_.recovery_epoch());
   if (!all_tasks_known && work_pending && quota_.recovering()) awaited = quota_.recovery_epoch();
--- a/src/jobs/job_owner.hpp
+++ b/src/jobs/job_owner.hpp
@@ -1,18 +1,18 @@
 #pragma once
-// The jobs that this controller owns, as the rest of the controller sees them.
+// The interface to the jobs that this controller owns.
 #include "jobs/completion_recorder.hpp"
 #include "jobs/prober.hpp"
 #include "jobs/task_dispatcher.hpp"
 
 namespace limemast::jobs {
-/// Owns jobs: short ones that this controller accepted, and all long ones while it leads. It alone
-/// assigns their tasks, each to one machine at a time.
+/// Owns jobs: short ones that this controller accepted or took over, and all long ones while it
+/// leads. Only the owner of a job assigns its tasks, each to one machine at a time.
 ///
-/// This class takes jobs up, runs the periodic work, and wires the classes that do the rest:
-/// OwnedJobs (state), TaskDispatcher (assignments), DeliveryMonitor (unacknowledged starts),
-/// HeartbeatReconciler (what machines show), FailoverBarrierState (which machines have confirmed a
-/// takeover), JobCompletion (final phases), CompletionRecorder (stored completions), Prober (probes
-/// of short jobs) and PendingReasonRecorder (diagnostics).
+/// This class takes ownership of jobs, runs the periodic work, and connects the classes that do the
+/// rest: OwnedJobs (state), TaskDispatcher (assignments), DeliveryMonitor (unresolved starts),
+/// HeartbeatReconciler (tasks that machines report), FailoverBarrierState (which machines have
+/// confirmed a takeover), JobCompletion (final phases), CompletionRecorder (stored completions),
+/// Prober (probes of short jobs) and PendingReasonRecorder (diagnostics).
 class JobOwner {
  public:
   JobOwner(net::Runtime& runtime, const wire::Settings& settings, store::Client& client,
@@ -22,33 +22,34 @@
            diagnostics::CapacityDiagnosis& capacity_diagnosis,
            CompletionBroadcast& completion_broadcast);
 
-  /// The set of registered machines has changed.
+  /// To be called when the set of registered machines has changed.
   void on_registrations_changed() { failover_barrier_.on_registrations_changed(); }
-  /// Takes up those of these jobs that this controller owns in the present epoch.
+  /// Takes ownership of those of these jobs that belong to this controller in the current epoch.
   void take_ownership(const std::vector<std::string>& uids);
-  /// The membership epoch has changed: owners may have.
+  /// To be called when the membership epoch has changed, since owners may change with it.
   void on_epoch_changed();
-  /// The registry has taken in a newer heartbeat of the machine.
+  /// To be called when the registry has stored a newer heartbeat of the machine.
   void on_heartbeat(const std::string& machine) { heartbeat_reconciler_.on_heartbeat(machine); }
-  /// The machine is deregistered: it is gone for good, and all that was on it.
+  /// To be called when the machine is deregistered, that is, terminated together with its tasks.
   void on_machine_removed(const std::string& machine);
-  /// The periodic work. Once a second.
+  /// Runs the periodic work. To be called once a second.
   void tick();
 
   /// All owned jobs, by uid.
   const OwnedJobs::JobMap& jobs() const { return owned_jobs_.all(); }
   /// nullopt if the job is not owned here.
   std::optional<Status> status(const std::string& uid) const;
-  /// Cancels the job. `done` gets the final phase once it is stored, which may be Done; nullopt if
-  /// the job is not owned here.
+  /// Cancels the job. `done` is called with the final phase once that is stored, which may be Done,
+  /// or with nullopt if the job is not owned here.
   void cancel(const std::string& uid, std::function<void(std::optional<Phase>)> done) {
     job_completion_.cancel(uid, std::move(done));
   }
-  /// The watch cache shows that the job's active record is gone.
+  /// To be called when the watch cache shows that the job's active record is gone.
   void on_active_record_removed(const std::string& uid) {
     job_completion_.on_active_record_removed(uid);
   }
-  /// The job's final record is stored, whoever wrote it. No task of it is assigned any more.
+  /// To be called when the job's final record is stored, whoever wrote it. No task of the job is
+  /// assigned afterwards.
   void on_job_ended(const std::string& uid, Phase phase) {
     job_completion_.on_job_ended(uid, phase);
   }
@@ -76,24 +77,25 @@
     return refused_machines_.recently_refused(machine, runtime_.now());
   }
 
-  /// A task is assigned to this machine.
+  /// Whether any task of an owned job is assigned to this machine.
   bool has_tasks_on(const std::string& machine) const { return owned_jobs_.has_tasks_on(machine); }
   /// See OwnedJobs.
   wire::Resources starting_resources(const std::string& machine) const {
     return owned_jobs_.starting_resources(machine);
   }
-  /// A task of a long job is assigned to this machine.
+  /// Whether any task of an owned long job is assigned to this machine.
   bool has_long_tasks(const std::string& machine) const {
     return owned_jobs_.has_long_tasks(machine);
   }
-  /// Grows with everything that may make room or work for the leader's placement.
+  /// Increases with every event that may allow the leader to place further tasks.
   std::uint64_t capacity_changes() const { return owned_jobs_.capacity_changes(); }
-  /// Grows with each long job taken up.
+  /// Increases each time this controller takes ownership of a long job.
   std::uint64_t long_job_arrivals() const { return owned_jobs_.long_job_arrivals(); }
 
-  /// The epoch that machines must confirm before all waiting work may be assigned; kNoEpoch: none.
+  /// The epoch that machines must confirm before all pending tasks may be assigned; kNoEpoch if
+  /// none.
   ids::EpochNumber failover_barrier_epoch() const { return failover_barrier_.awaited_epoch(); }
-  /// The machine has confirmed this epoch or a later one.
+  /// Whether the machine has confirmed this epoch or a later one.
   bool machine_confirmed(const std::string& machine, ids::EpochNumber epoch) const {
     return failover_barrier_.confirmed_by(machine, epoch);
   }
@@ -106,7 +108,7 @@
   void record_pending_reason(const Job& job) { pending_reasons_.record(job); }
 
  private:
-  /// What one round of the periodic work finds out about all jobs.
+  /// Collected in one pass of the periodic work over all owned jobs.
   struct JobsSummary {
     std::vector<Job*> to_announce;
     std::map<std::string, wire::Resources> pending_resources;  ///< by team
@@ -114,19 +116,20 @@
   };
   void on_probes_dropped(const messages::ProbesDropped& message);
   bool should_take_ownership(const std::string& uid) const;
-  /// The job was accepted here, or since this controller has led: no other owner assigned its
-  /// tasks.
+  /// Whether this controller has owned the job since it was accepted, so that no other owner can
+  /// have assigned tasks of it. Long jobs must have been accepted since this controller has led.
   bool owned_since_acceptance(const ActiveJob& record) const;
   Job& add_owned_job(const ActiveJob& record);
   void apply_failover_barrier(Job& job);
-  /// Probes that controllers of former epochs held are gone, and a new member knows of no pending
-  /// tasks.
+  /// Forgets the probes at machines whose controller was lost, and announces all pending tasks
+  /// again, because new members do not know them.
   void reset_probes_and_announcements();
   void update_job(Job& job, JobsSummary& summary);
   void update_short_job(Job& job, JobsSummary& summary);
-  /// The job has ended and nothing of it is left here.
+  /// Whether the job has ended and none of its tasks is assigned.
   bool can_be_erased(const Job& job) const;
-  /// Finds the epoch that machines must confirm. Returns true if all that runs is known here.
+  /// Determines the epoch that machines must confirm. Returns true if all tasks that may run are
+  /// known here.
   bool update_failover_barrier(bool work_pending);
   void update_orphaned_usage();
 
--- a/src/jobs/long_task_map_publisher.cpp
+++ b/src/jobs/long_task_map_publisher.cpp
@@ -10,7 +10,7 @@
 namespace {
 using ProvisioningEntry = messages::LongTaskMapUpdate::Provisioning;
 
-/// Times are sent as durations from now on, since the controllers' clocks differ.
+/// Times are sent relative to now, because the clocks of the controllers differ.
 std::vector<ProvisioningEntry> to_entries(
     const std::vector<machines::ProvisioningMachines>& provisioning, net::Time now) {
   std::vector<ProvisioningEntry> out;
@@ -30,8 +30,8 @@
   return out;
 }
 
-/// A machine that may be reserved. Those that are reserved already come first, then those with the
-/// least to finish.
+/// A machine that may be reserved. Machines that are reserved already are sorted first, then those
+/// with the fewest tasks.
 struct ReservableMachine {
   bool newly_reserved = false;
   std::size_t tasks = 0;
@@ -40,13 +40,14 @@
   auto operator<=>(const ReservableMachine&) const = default;
 };
 
-/// On-demand machines of one zone, in CPUs.
+/// Capacity of the on-demand machines of one zone, in CPUs.
 struct ZoneCapacity {
-  double with_services = 0;  ///< of machines that hold services or other long tasks
-  double free = 0;           ///< there, and on the machines reserved so far
+  double with_services = 0;  ///< of machines with services or other long tasks
+  double free = 0;           ///< on those machines and on the machines reserved so far
   double largest_machine = 0;
   std::vector<ReservableMachine> reservable;
 
+  /// The spare fraction is free, and half of the largest machine in addition.
   bool has_enough_spare() const {
     return free >= with_services * kServiceSpareFraction + largest_machine / 2;
   }
@@ -126,9 +127,9 @@
   return message;
 }
 
-/// The autoscaler launches on-demand machines beyond what services need, for replicas to come. If
-/// short tasks took that room, nearly each new replica would have some of them stopped: in each
-/// zone as much is kept free as was meant to be.
+/// The autoscaler launches more on-demand machines than services need now, for future replicas. If
+/// short tasks used that capacity, nearly every new replica would have to stop some of them, so the
+/// intended spare capacity is kept free in each zone.
 std::set<std::string> LongTaskMapPublisher::reserve_for_services(
     const machines::LongTaskMap& map) const {
   const auto& reserved_before = registry_.long_task_map().reserved_for_services;
@@ -152,7 +153,7 @@
     }
   }
   std::set<std::string> out;
-  if (!any_spot) return out;  // short tasks have no other machines
+  if (!any_spot) return out;  // without spot machines, short tasks need these
   for (auto& [name, zone] : zones) {
     if (zone.with_services <= 0) continue;
     std::sort(zone.reservable.begin(), zone.reservable.end());
--- a/src/jobs/long_task_placement.cpp
+++ b/src/jobs/long_task_placement.cpp
@@ -34,9 +34,9 @@
   return out;
 }
 
-/// A machine with a long task takes no short ones and cannot be released. While short tasks lack
-/// room, and where the machine is an on-demand one that the job need not have, best-effort tasks
-/// go only to machines that hold other long tasks anyhow.
+/// A machine with a long task takes no short tasks and cannot be released. Best-effort tasks are
+/// therefore placed only on machines that already hold other long tasks if short tasks lack
+/// capacity, or if the machine is on-demand and the job could use spot machines.
 bool LongTaskPlacement::accepts_best_effort(const MachineSlot& slot,
                                             const wire::JobSpec& spec) const {
   const auto& heartbeat = slot.machine_status->heartbeat;
@@ -66,15 +66,16 @@
 }
 
 void LongTaskPlacement::place_gang(const Job& job, MachineSlots& slots) {
-  // All or none: a gang that holds machines while it waits for its last task wastes them. What is
-  // left of an earlier attempt ends by itself before the next one begins.
+  // A gang that holds machines while it waits for its last task would waste them, so all its tasks
+  // are placed or none. Tasks left from an earlier attempt end by themselves before the next
+  // attempt begins.
   if (!job.assignments.empty() || !job_owner_.quota_allows_all(job)) return;
-  const auto fit = slots_with_room(job, slots);
+  const auto with_room = slots_with_room(job, slots);
   const auto zones = job.record.spec.one_zone ? settings_.zones : std::vector<std::string>{""};
   for (const auto& zone : zones) {
-    const auto room = slots_for_gang(job, fit, zone);
-    if (room.empty()) continue;
-    while (job.pending() > 0 && place_one(job, room)) {
+    const auto gang_slots = slots_for_gang(job, with_room, zone);
+    if (gang_slots.empty()) continue;
+    while (job.pending() > 0 && place_one(job, gang_slots)) {
     }
     return;
   }
--- a/src/jobs/long_task_scheduler.cpp
+++ b/src/jobs/long_task_scheduler.cpp
@@ -6,14 +6,16 @@
 namespace limemast::jobs {
 namespace {
 using namespace std::chrono_literals;
-/// Between runs while capacity changes, as it does all the time in a large fleet.
+/// Minimum interval between runs while capacity changes, which it does constantly in a large
+/// cluster.
 constexpr auto kRunInterval = 200ms;
-/// Between runs while nothing changes: backoffs end, and machines fall silent.
+/// Minimum interval between runs without a known change. Backoffs expire and machines fall silent
+/// without one.
 constexpr auto kIdleRunInterval = 500ms;
-/// A machine without a heartbeat for so many intervals gets no tasks.
+/// A machine that has sent no heartbeat for this many heartbeat intervals gets no tasks.
 constexpr double kMaxMissedHeartbeats = 2.5;
 
-/// All that decides which machines a task fits on, apart from where tasks of its own job run.
+/// Everything that decides which machines a task fits on, except where other tasks of its job run.
 struct TaskShape {
   bool spot = false;
   double cpus = 0;
@@ -89,7 +91,7 @@
 }
 
 bool LongTaskScheduler::run_is_due(net::Time now) {
-  // What found no room a moment ago waits a little for the next run; a job that is new does not.
+  // Tasks that found no room recently wait for the next interval; new jobs do not.
   const bool new_jobs = job_owner_.long_job_arrivals() != seen_arrivals_;
   const bool capacity_changed = job_owner_.capacity_changes() != seen_capacity_changes_;
   if (!new_jobs && now - last_run_ < (capacity_changed ? kRunInterval : kIdleRunInterval))
@@ -130,7 +132,7 @@
                   [&](const auto& entry) { return settings_.yields(entry.job->record.spec); });
   const bool best_effort_runs = best_effort_task_runs();
   placement_.begin_run(best_effort_waits && short_task_capacity_.missing_cpus() > 0);
-  // What one task found no room for, the next of the same shape need not look for.
+  // If one task finds no room, other tasks of the same shape are not tried in this run.
   std::set<TaskShape> shapes_without_room;
   for (const auto& [order, job] : waiting) {
     const auto& spec = job->record.spec;
--- a/src/jobs/long_task_scheduler.hpp
+++ b/src/jobs/long_task_scheduler.hpp
@@ -11,8 +11,8 @@
 
 namespace limemast::jobs {
 /// The centralized scheduler of Eagle (Delgado et al. 2016): places long tasks and services in one
-/// order, preempts for them, and publishes the long-task map. Does nothing on other members. Not
-/// thread-safe; all calls come from the event loop.
+/// global order, preempts other tasks for them, and publishes the long-task map. Does nothing
+/// unless this controller leads. Not thread-safe; all calls come from the event loop.
 class LongTaskScheduler {
  public:
   using Slots = MachineSlots;
@@ -23,11 +23,12 @@
                     cluster::JobDirectory& job_directory, machines::Registry& registry,
                     JobOwner& job_owner, diagnostics::PendingReasonTable& pending_reasons);
 
-  /// Places what can be placed. May be called often: returns at once while nothing has changed.
+  /// Places as many pending tasks as possible. May be called often: returns at once while nothing
+  /// has changed.
   void run();
-  /// Makes room for short tasks and sends the long-task map; to be called periodically.
+  /// Frees capacity for short tasks and publishes the long-task map. To be called periodically.
   void send_map();
-  /// The machines that take tasks, and the room on them.
+  /// The machines that accept tasks, with their free resources.
   Slots slots() const;
 
  private:
@@ -35,13 +36,15 @@
     SchedulingOrder order;
     const Job* job = nullptr;
   };
-  /// True if something may have changed since the last run, or enough time has passed.
+  /// Returns true if something may have changed since the last run, or if enough time has passed,
+  /// and records the start of a run in that case.
   bool run_is_due(net::Time now);
-  /// The jobs with tasks to place, in their order. Of the others it records why they wait.
+  /// The long jobs with tasks to place, in scheduling order. Records for all other long jobs why
+  /// their tasks are pending.
   std::vector<WaitingJob> collect_waiting_jobs();
   void place(const std::vector<WaitingJob>& waiting, net::Time now);
   bool best_effort_task_runs() const;
-  /// Position in the queue, as users are told it.
+  /// Records the positions in the queue that users see.
   void record_queue_positions(const std::vector<WaitingJob>& waiting);
   void record_outcome(const std::vector<WaitingJob>& waiting);
 
--- a/src/jobs/machine_slot.cpp
+++ b/src/jobs/machine_slot.cpp
@@ -7,7 +7,7 @@
 namespace limemast::jobs {
 namespace {
 constexpr wire::Seconds kMaxStartDelayTolerance{5};
-/// The tolerance is the wait that the class's users accept, divided by this.
+/// The tolerance is the wait that the class's objectives allow, divided by this.
 constexpr double kAcceptedWaitDivisor = 4;
 }  // namespace
 
--- a/src/jobs/orphaned_usage.cpp
+++ b/src/jobs/orphaned_usage.cpp
@@ -3,19 +3,19 @@
 namespace limemast::jobs {
 namespace {
 using wire::Resources;
-constexpr double kUnlimited = 1e15;  ///< capacity of a machine whose type is unknown
+constexpr double kUnlimited = 1e15;  ///< assumed capacity of a machine of unknown type
 
-/// What the job's spec counts for a quota; memory has none.
+/// Resources of one task that count towards a quota, which does not include RAM.
 Resources quota_resources(const wire::JobSpec& spec) { return {spec.cpus, 0, spec.accelerators}; }
 
-/// A living owner has each of the job's tasks assigned, or knows that it is gone: the job never
+/// Whether a member has each of the job's tasks assigned or knows that it is gone: the job never
 /// changed owners, or it has not ended and was taken over.
 bool has_active_owner(const cluster::ActiveJob* job, const cluster::Membership& membership) {
   if (!job || !job->spec_known) return false;
   return !job->ended || (!job->is_long && membership.is_member(job->accepted_by));
 }
 
-/// The most that the tasks whose needs are unknown can take of their machine.
+/// The most that tasks with unknown needs can use on the machine.
 Resources max_unknown_usage(const machines::MachineStatus& machine_status,
                             const cluster::JobDirectory& job_directory) {
   if (!machine_status.type) return {kUnlimited, 0, kUnlimited};
@@ -40,7 +40,7 @@
     const std::function<bool(const std::string& machine, const wire::TaskStatus& task)>&
         assigned_here) {
   OrphanedUsage usage;
-  // There are hardly ever any, and then the machines need not be searched.
+  // Orphaned tasks are rare, and without any the machines need not be searched.
   const auto may_be_orphaned = [&](const std::string& uid) {
     return !has_active_owner(job_directory.find(uid), membership);
   };
--- a/src/jobs/orphaned_usage.hpp
+++ b/src/jobs/orphaned_usage.hpp
@@ -1,23 +1,26 @@
 #pragma once
-// Resources on machines that count for teams' quotas although no living owner has them assigned.
+// Resources used on machines that count towards the teams' quotas although no member has their
+// tasks assigned.
 #include <functional>
 
 #include "machines/registry.hpp"
 
 namespace limemast::jobs {
-/// Resources of orphaned tasks: their job has ended while its owner was lost, or its record cannot
-/// be read. A quota limits what may be on machines, not what an owner knows of, so an orphaned task
-/// counts until it is proved gone by a heartbeat of its machine, by the machine's next incarnation
-/// or by the machine's removal (test: QuotaLimitDuringFailover.CountsTasksOfUnknownJobs).
+/// Resources of orphaned tasks: their job ended while its owner was lost, or the record of their
+/// job cannot be read. A quota limits what may be on machines, whether or not an owner knows of it.
+/// An orphaned task therefore counts until a heartbeat of its machine, the machine's next
+/// incarnation or the machine's removal proves it gone (test:
+/// QuotaLimitDuringFailover.CountsTasksOfUnknownJobs).
 struct OrphanedUsage {
   std::map<std::string, wire::Resources> by_team;
-  /// Of tasks whose team is unknown: the most that their machines can hold. Counts for every team.
+  /// Usage of tasks whose team is unknown: the most that they can use on their machines. Counts for
+  /// every team.
   wire::Resources unknown_team;
-  /// What counts for this team.
+  /// The usage that counts for this team.
   wire::Resources of(const std::string& team) const;
 };
-/// The orphaned usage on all machines. `assigned_here`: this controller's own jobs have the task
-/// assigned to that machine.
+/// Computes the orphaned usage on all machines. `assigned_here`: whether a job of this controller
+/// has the task assigned to that machine.
 OrphanedUsage orphaned_usage(
     const machines::Registry& registry, const cluster::JobDirectory& job_directory,
     const cluster::Membership& membership,
--- a/src/jobs/owned_jobs.hpp
+++ b/src/jobs/owned_jobs.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The jobs that this controller owns, and which of their tasks are assigned to which machine.
+// The jobs that this controller owns, and the machines that their tasks are assigned to.
 #include <memory>
 
 #include "jobs/job.hpp"
@@ -13,9 +13,8 @@
   bool operator==(const TaskRef&) const = default;
 };
 
-/// Holds the owned jobs and keeps all that follows from their assignments in step with them: the
-/// tasks of each machine, the tasks of each zone, and what counts for the teams' quotas. Makes no
-/// decisions.
+/// Holds the owned jobs and updates everything that follows from their assignments: the tasks of
+/// each machine, the tasks of each zone, and the use of the teams' quotas. Makes no decisions.
 class OwnedJobs {
  public:
   using JobMap = std::unordered_map<std::string, std::unique_ptr<Job>>;
@@ -29,7 +28,7 @@
     const auto it = jobs_.find(uid);
     return it == jobs_.end() ? nullptr : it->second.get();
   }
-  /// Likewise.
+  /// nullptr if the job is not owned here.
   const Job* find(const std::string& uid) const {
     const auto it = jobs_.find(uid);
     return it == jobs_.end() ? nullptr : it->second.get();
@@ -43,27 +42,28 @@
   void assign(Job& job, std::uint32_t index, TaskAssignment assignment);
   /// Ends the assignment and returns it; nullopt if there is none.
   std::optional<TaskAssignment> unassign(Job& job, std::uint32_t index);
-  /// The machine holds this attempt by our assignments.
+  /// Whether this attempt of the task is assigned to the machine.
   bool is_assigned(const std::string& machine, const wire::TaskStatus& task) const;
 
-  /// Tasks that are assigned to the machine, in no order. A copy: callers end assignments.
+  /// Tasks that are assigned to the machine, in no particular order. Returns a copy, because
+  /// callers end assignments while they iterate.
   std::vector<TaskRef> tasks_on(const std::string& machine) const;
   bool has_tasks_on(const std::string& machine) const;
   bool has_long_tasks(const std::string& machine) const;
-  /// Resources of the tasks that are assigned to the machine and that its heartbeat does not show
-  /// yet.
+  /// Resources of the tasks that are assigned to the machine and not shown by its heartbeat yet.
   wire::Resources starting_resources(const std::string& machine) const;
 
-  /// A heartbeat of the machine has come in: it may have room, and may show further tasks.
+  /// To be called for each newer heartbeat of the machine, which may show more free resources and
+  /// further tasks.
   void on_heartbeat(const std::string& machine);
-  /// Grows with everything that may make room or work for the leader's placement.
+  /// Increases with every event that may allow the leader to place further tasks.
   std::uint64_t capacity_changes() const { return capacity_changes_; }
-  /// Grows with each long job taken up.
+  /// Increases with each long job that is added.
   std::uint64_t long_job_arrivals() const { return long_job_arrivals_; }
 
  private:
   struct MachineTasks {
-    std::vector<TaskRef> tasks;  ///< each once, in no order
+    std::vector<TaskRef> tasks;  ///< without duplicates, in no particular order
     std::uint32_t long_tasks = 0;
     mutable std::optional<wire::Resources> starting;  ///< cached; nullopt: to be computed
   };
--- a/src/jobs/pending_reason_recorder.cpp
+++ b/src/jobs/pending_reason_recorder.cpp
@@ -58,7 +58,8 @@
     pending_reasons_.note(spec.uid, *blocked, pending, now, until);
     return;
   }
-  // A quota that refuses a team below its limit is granted more within a moment: no reason to show.
+  // If the team is below its limit, the leader grants more within a moment, so the refusal is not
+  // shown as a reason.
   if (job.quota_refused_recently(now) && capacity_diagnosis_.at_limit(spec, now)) {
     pending_reasons_.note(spec.uid, PendingReason::TeamLimit, pending, now);
     return;
--- a/src/jobs/preemption.cpp
+++ b/src/jobs/preemption.cpp
@@ -9,12 +9,12 @@
 using namespace std::chrono_literals;
 using wire::Resources;
 
-/// A job that found no victims tries again after this.
+/// Backoff of a job for which no victims were found.
 constexpr auto kRetryDelay = 1s;
-/// Start delays are compared in steps of the tolerance, and of this at least.
+/// Start delays are compared in steps of the tolerance, or of this if it is greater.
 constexpr wire::Seconds kMinDelayStep{0.1};
 
-/// Of preempting on one machine; the lower is better.
+/// Cost of preempting on one machine; lower is better.
 struct PreemptionCost {
   double delay_steps = 0;
   std::size_t victims = 0;
@@ -34,7 +34,8 @@
   }
 }
 
-/// The machine where the task starts soonest is taken, among those the one with the fewest victims.
+/// Chooses the machine where the task starts soonest and, among equal ones, the one with the fewest
+/// victims.
 bool Preemption::place_one(const Job& job, MachineSlots& slots) {
   const auto& spec = job.record.spec;
   const auto need = Resources::of(spec);
@@ -89,13 +90,14 @@
 }
 
 bool Preemption::may_preempt(const wire::JobSpec& victim, const wire::JobSpec& job) {
-  // A gang of which one task was stopped while others completed can never run together again.
+  // If one task of a gang is stopped after others have completed, the gang can never run together
+  // again.
   if (victim.gang) return false;
-  // Urgent work preempts all of lower rank; other work only what is preemptible.
+  // Urgent jobs preempt all jobs of lower rank; other jobs preempt only best-effort ones.
   if (victim.rank < job.rank && (job.rank >= wire::Rank::Urgent || settings_.yields(victim)))
     return true;
-  // What a team without a guarantee runs is always beyond its guarantee, and may be stopped to give
-  // another team its own.
+  // Tasks of a team without a guarantee are preempted so that another team gets what it is
+  // guaranteed.
   return settings_.guest(victim.team) && !settings_.guest(job.team) && guarantees_.covers(job);
 }
 }  // namespace limemast::jobs
--- a/src/jobs/prober.cpp
+++ b/src/jobs/prober.cpp
@@ -8,18 +8,20 @@
 namespace limemast::jobs {
 namespace {
 using namespace std::chrono_literals;
-/// A probe that was lost on a broken connection is never pulled, and would keep its machine from
-/// being probed again.
+/// A probe that was lost on a broken connection is never pulled, and its machine would not be
+/// probed again. Without a pull for this long, all probes are sent again.
 constexpr auto kAssumeLostAfter = 30s;
-/// Queues that had no place for a probe have none a moment later either.
+/// Delay before further probes are drawn after a controller rejected some for another reason than
+/// long tasks. A full queue rarely has room again earlier.
 constexpr auto kRedrawPause = 2s;
-/// A job without progress for this long looks for further machines with room, and then this often.
+/// How long a job must be without progress before further machines with free resources are probed,
+/// and the interval between such searches.
 constexpr auto kFurtherProbesAfter = 5s;
 constexpr auto kFurtherProbesInterval = 2s;
-/// And for this long before it is probed beside long tasks, and where capacity is reserved for
-/// services: no job may wait 90 s where there is room.
+/// How long a job must be without progress before it probes machines that hold long tasks or are
+/// reserved for services. No job may wait 90 s while there is room.
 constexpr auto kProbeAnywhereAfter = 60s;
-/// Stages of a redraw; the last is machines::kLastResort.
+/// Stages of a redraw; the last one is machines::kLastResort.
 constexpr int kFirstDraw = 0;
 constexpr int kByMap = 1;
 constexpr int kShortPartition = 2;
@@ -40,8 +42,8 @@
     return;
   }
   probing.last_activity = now;
-  // The first probes are drawn from all machines whatever the map says: it may be old (Eagle,
-  // section 3.3).
+  // The first probes are drawn from all machines regardless of the long-task map, which may be
+  // outdated (Eagle, section 3.3).
   auto machines = candidates.machines;
   std::erase_if(machines, [&](ids::DenseId machine) { return !candidates_.open(machine); });
   send(job, scheduling::draw(std::move(machines), target, runtime_.random()), kFirstDraw);
@@ -63,8 +65,8 @@
                                                      int stage) const {
   const auto& map = registry_.long_task_map();
   std::vector<ids::DenseId> machines;
-  // Beyond the paper: a job that may go to no machine of the short partition (its zone, type or
-  // kind) would starve, so in the last stage its probe may wait behind long tasks.
+  // This extends the paper: a job that may use no machine of the short partition, because of its
+  // zone, type or kind, would starve, so in the last stage its probes may wait behind long tasks.
   for (const auto machine : candidates) {
     if (job.probing.machines.contains(machine)) continue;
     if (stage == kByMap && map.shunned.contains(machine)) continue;
@@ -98,8 +100,8 @@
   const auto now = runtime_.now();
   auto& probing = job.probing;
   if (probing.machines.empty() || now - probing.last_activity <= kAssumeLostAfter) return;
-  // Only here and with each pull. A redraw must not count as activity: where there are no machines
-  // to draw it is tried every second, and a lost probe would never be renewed (test:
+  // A redraw must not count as activity. Where there are no machines to draw it is retried every
+  // second, and a lost probe would never be sent again (test:
   // LostProbes.AreRenewedThoughFurtherMachinesAreLookedFor).
   probing.last_activity = now;
   std::vector<ids::DenseId> machines;
@@ -151,7 +153,7 @@
 void Prober::on_rejected(Job* job, const messages::ProbesRejected& message) {
   if (message.map) apply_map(*message.map);
   if (!job) return;
-  // Those that were not rejected for long tasks are replaced by a later top_up.
+  // Probes that were rejected for other reasons than long tasks are replaced by a later `top_up`.
   if (remove_probes(*job, message.otherwise) > 0) {
     job->probing.exhausted_candidates_version = 0;
     if (!job->probing.machines.empty()) job->probing.redraw_after = runtime_.now() + kRedrawPause;
--- a/src/jobs/quota.hpp
+++ b/src/jobs/quota.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The teams' limits, shared out among the members of the cluster.
+// The teams' resource limits, divided among the members of the cluster.
 #include <map>
 
 #include "jobs/orphaned_usage.hpp"
@@ -10,7 +10,7 @@
 namespace limemast::jobs {
 using wire::Resources;
 
-/// What a job owner needs of the quotas: this member's share, and the leader's allocator, which
+/// The quotas as the job owner uses them: this member's share, and the leader's allocator, which
 /// works only while this controller leads.
 class Quota {
  public:
@@ -22,40 +22,41 @@
         share_(runtime, limits_, membership, message_bus),
         allocator_(runtime, limits_, membership, message_bus, share_) {}
 
-  /// True if a task of the team may be assigned now; if not, the leader is asked for more.
-  /// `waiting`: the tasks of this kind that wait, this one included.
+  /// Whether a task of the team may be assigned now. If not, more quota is requested from the
+  /// leader. `waiting`: the number of pending tasks of this kind, including this one.
   bool may_use(const std::string& team, const Resources& need, std::uint32_t waiting = 1) {
     return share_.may_use(team, need, waiting);
   }
-  /// What all waiting tasks of each team need together, as of now: it is demanded at once, so that
-  /// a thousand tasks do not take a hundred round trips.
-  void set_pending_demand(std::map<std::string, Resources> waiting) {
-    share_.set_pending_demand(std::move(waiting));
+  /// Sets what all pending tasks of each team need in total. The next refused task requests quota
+  /// for all of them at once, which saves many round trips.
+  void set_pending_demand(std::map<std::string, Resources> demand) {
+    share_.set_pending_demand(std::move(demand));
   }
-  /// What runs on machines and is counted by no owner: it is not granted.
+  /// Sets the resources that are used on machines and counted by no owner. They are not granted to
+  /// any member.
   void set_orphaned_usage(OrphanedUsage orphaned_usage) {
     allocator_.set_orphaned_usage(std::move(orphaned_usage));
   }
-  /// Counts a task that was assigned, or found running.
+  /// Counts the resources of a task that was assigned or adopted as used.
   void use(const std::string& team, const Resources& need) { share_.use(team, need); }
-  /// Counts a task's resources as free again.
+  /// Counts the resources of a task as free again.
   void release(const std::string& team, const Resources& need) { share_.release(team, need); }
 
-  /// To be called once a second: returns what is not needed and asks for what is.
-  /// `all_tasks_known`: all that runs since `recovery_epoch()` is known here.
+  /// Returns unneeded quota to the leader and requests missing quota. To be called once a second.
+  /// `all_tasks_known`: every task that may run is known to an owner or counted as orphaned usage.
   void tick(bool all_tasks_known) {
     if (!membership_.may_act()) return;
     allocator_.finish_recovery_if_complete(all_tasks_known);
     share_.release_unneeded_and_report();
   }
-  /// The membership has a new epoch.
+  /// To be called when the membership epoch has changed.
   void on_epoch_changed() { allocator_.on_epoch_changed(share_.on_epoch_changed()); }
-  /// The newest epoch that lost a member, or got another leader: what was granted before it must
-  /// be found again.
+  /// The newest epoch in which a member was lost or the leader changed. Earlier grants must be
+  /// determined anew.
   ids::EpochNumber recovery_epoch() const { return allocator_.recovery_epoch(); }
-  /// This controller leads, and grants nothing more until what was granted before is found.
+  /// Whether this controller leads and withholds grants until all earlier ones are determined.
   bool recovering() const { return allocator_.recovering(); }
-  /// Some team's use is limited; otherwise quotas restrict nothing. Constant.
+  /// Whether the use of any team is limited. Constant.
   bool any_limited() const { return limits_.any_limited(); }
 
  private:
--- a/src/jobs/quota_allocator.cpp
+++ b/src/jobs/quota_allocator.cpp
@@ -7,7 +7,7 @@
 using namespace std::chrono_literals;
 using wire::Resources;
 
-/// A grant that its member has not confirmed by then is sent again.
+/// If a member has not confirmed a grant within this time, the grant is sent again.
 constexpr auto kGrantConfirmTimeout = 500ms;
 }  // namespace
 
@@ -34,7 +34,7 @@
 void QuotaAllocator::finish_recovery_if_complete(bool all_tasks_known) {
   if (!recovering() || !all_tasks_known || !all_members_reported()) return;
   recovery_finished_ = true;
-  // Tasks of lost members were taken over and are counted by their new owners.
+  // Tasks of lost members were taken over, and their new owners count them.
   std::erase_if(members_, [&](const auto& member) { return !membership_.is_member(member.first); });
   auto& own = members_[membership_.self()];
   for (auto& [team, held] : own_share_.raise_held_to_used()) own.granted[team] = held;
@@ -42,8 +42,8 @@
 
 void QuotaAllocator::on_epoch_changed(bool leader_changed) {
   if (leader_changed) members_.clear();
-  // A member that joined was granted nothing yet. One that was lost had tasks that are known only
-  // when all machines have shown them: nothing new is granted until then.
+  // A member that joined holds no quota yet. The tasks of a lost member are known only after all
+  // machines have reported them, so nothing is granted until then.
   if (!leader_changed && !membership_.lost_member()) return;
   recovery_finished_ = false;
   recovery_epoch_ = membership_.epoch().number;
@@ -55,8 +55,8 @@
   auto& member = members_[from];
   const bool current = !member.reported || demand.serial == member.serial;
   if (!current) {
-    // The member does not know our last grant, which may have been lost: while it does not,
-    // nothing that it says can be applied. A grant gives totals, so a second copy does no harm.
+    // The member has not applied the last grant, which may be lost, so its report is outdated and
+    // is ignored. A grant contains totals, so a second copy does no harm.
     if (runtime_.now() - member.grant_sent_at > kGrantConfirmTimeout) send_grant(from, member);
     return;
   }
@@ -74,7 +74,8 @@
     const auto* limit = limits_.find(team);
     if (!limit) continue;
     auto& granted = member.granted[team];
-    // What this controller holds may have grown since it sent this, by tasks that it found running.
+    // The share of this controller may have grown since it sent the demand, through tasks that it
+    // adopted.
     granted = from == membership_.self() ? own_share_.held(team) : entry.held;
     if (!recovery_finished_) continue;
     const auto free = free_quota(team, *limit);
--- a/src/jobs/quota_share.cpp
+++ b/src/jobs/quota_share.cpp
@@ -7,20 +7,21 @@
 using namespace std::chrono_literals;
 using wire::Resources;
 
-/// The least time between a demand and one that a refused task causes.
+/// Minimum interval between a demand and the next one that a refused task triggers.
 constexpr auto kMinDemandInterval = 50ms;
-/// Room for at least this many tasks is demanded at once, which saves a round trip for each.
+/// A demand covers at least this many tasks, to save a round trip for each.
 constexpr double kMinTasksDemanded = 8;
-/// The part of a limit that one member demands at most beyond its use. All that waits is demanded
-/// together, as a cold start of a thousand tasks took half a minute in small steps; but what a
-/// member was granted and finds no machine for is kept from the others.
+/// The largest fraction of a limit that one member demands beyond its use for all its pending
+/// tasks. Demanding it in small steps would delay a start of many tasks, but quota that a member
+/// holds without finding machines is kept from the others.
 constexpr double kMaxLimitShareDemanded = 1.0 / 16;
 
 Resources without_ram(const Resources& resources) {
   return {resources.cpus, 0, resources.accelerators};
 }
 
-/// The total of one resource to demand. `one`: of the refused task; `all`: of all that wait.
+/// The total of one resource to demand. `one`: need of the refused task; `all`: need of all pending
+/// tasks.
 double demanded_total(double used, double one, double all, double limit) {
   return used + std::max(kMinTasksDemanded * one, std::min(all, limit * kMaxLimitShareDemanded));
 }
--- a/src/jobs/retry_backoff.cpp
+++ b/src/jobs/retry_backoff.cpp
@@ -7,10 +7,13 @@
 namespace {
 using namespace std::chrono_literals;
 constexpr auto kAvoidMachineFor = 30s;
+/// The backoff is this, doubled for each machine with a failure, kMaxBackoffExponent times at most.
 constexpr auto kBackoffUnit = 250ms;
 constexpr unsigned kMaxBackoffExponent = 7;
 constexpr unsigned kFailsEverywhereMachines = 3;
-/// How much longer than the failures a trial must run to count as a success.
+/// A trial counts as a success once it has run for kTrialRunFactor times the longest failed run,
+/// plus kTrialMargin.
+constexpr int kTrialRunFactor = 2;
 constexpr auto kTrialMargin = 3s;
 }  // namespace
 
@@ -39,8 +42,8 @@
   if (!job.retry.fails_everywhere || job.completed_tasks > 0 || job.record.spec.gang) return true;
   return std::all_of(job.assignments.begin(), job.assignments.end(), [&](const auto& entry) {
     const auto& assignment = entry.second;
-    return assignment.running &&
-           now - assignment.running_since > 2 * job.retry.longest_failed_run + kTrialMargin;
+    return assignment.running && now - assignment.running_since >
+                                     kTrialRunFactor * job.retry.longest_failed_run + kTrialMargin;
   });
 }
 }  // namespace limemast::jobs
--- a/src/jobs/scheduling_order.cpp
+++ b/src/jobs/scheduling_order.cpp
@@ -2,6 +2,7 @@
 
 namespace limemast::jobs {
 namespace {
+/// Number of values of `SchedulingOrder::last_resort`.
 constexpr int kLastResortSteps = 4;
 
 std::int64_t milliseconds(net::WallTime time) {
@@ -40,15 +41,15 @@
                                  TeamGuarantees& guarantees, net::WallTime now) {
   const auto& spec = job.record.spec;
   const auto deadline = reachable_deadline(job.record, settings, now);
-  const bool has_target = spec.due || settings.expects_finish(spec.workload);
+  const bool has_deadline = spec.due || settings.expects_finish(spec.workload);
   const int rank = static_cast<int>(spec.rank);
   SchedulingOrder order;
   order.urgent_rank = spec.rank >= wire::Rank::Urgent ? -rank : 0;
   order.last_resort = last_resort_step(spec, underserved_classes, guarantees);
   order.best_effort = settings.yields(spec);
-  // What cannot be in time any more lets those pass that can: in a backlog everybody would be late
-  // otherwise.
-  order.deadline_missed = has_target && !deadline;
+  // Jobs that can no longer meet their deadline come after those that can. Otherwise every job
+  // would be late in a backlog.
+  order.deadline_missed = has_deadline && !deadline;
   order.deadline = deadline.value_or(net::WallTime::max());
   order.rank = -rank;
   order.submitted = job.record.submitted;
--- a/src/jobs/short_task_capacity.cpp
+++ b/src/jobs/short_task_capacity.cpp
@@ -6,8 +6,8 @@
 namespace limemast::jobs {
 namespace {
 using namespace std::chrono_literals;
-/// A short job that has waited longer waits for something else than room: best-effort tasks are not
-/// stopped, or kept waiting, for it.
+/// A short job that has waited longer than this is assumed to lack something other than capacity.
+/// Best-effort tasks are neither stopped nor held back for it.
 constexpr auto kMaxWaitForCapacity = 240s;
 }  // namespace
 
@@ -32,7 +32,7 @@
 
 void ShortTaskCapacity::reclaim() {
   auto missing = missing_cpus();
-  // A moment's lack passes by itself, as short tasks end all the time.
+  // A brief shortage resolves by itself, because short tasks end all the time.
   const bool had_shortage = std::exchange(had_shortage_, missing > 0);
   if (!had_shortage || missing <= 0) return;
   for (const auto& machine : reclaimable_machines()) {
--- a/src/jobs/slo_monitor.cpp
+++ b/src/jobs/slo_monitor.cpp
@@ -10,10 +10,10 @@
 using diagnostics::PendingReason;
 constexpr auto kUpdateInterval = 3s;
 constexpr auto kWarningInterval = 60s;
-/// Below this served part of a class a warning is logged.
+/// A warning is logged when less than this fraction of a class's demand is served.
 constexpr double kWarningThreshold = 0.6;
-/// Without a deadline or an objective a task should be done this long after its estimate, and a
-/// replica be up within it.
+/// Time after its estimate by which a task without a deadline or objective should be complete, or a
+/// replica should run.
 constexpr wire::Seconds kDefaultAllowance{60};
 }  // namespace
 
@@ -51,7 +51,8 @@
 
 void SloMonitor::observe_ended(const std::string& uid, const ActiveJob& job, net::WallTime now) {
   if (!slo_attainment_.tracks(uid)) return;
-  // If it was not heard here how the job ended, what was left of it tells.
+  // If this controller does not know the final phase, it infers from the remaining work whether the
+  // job was cancelled.
   const auto phase = status_reader_.final_of(uid);
   const bool left_undone = job.spec.service || job.unfinished.value_or(job.spec.tasks) > 0;
   const bool cancelled = phase ? *phase == Phase::Cancelled : left_undone;
@@ -65,8 +66,8 @@
   const auto* own = owned_job(uid);
   const auto pending = own ? own->pending() : job.pending_tasks.value_or(spec.tasks);
   const auto unfinished = own ? own->unfinished() : job.unfinished.value_or(spec.tasks);
-  // A job that fails wherever it starts cannot be served by anybody; its owner tries one task at a
-  // time.
+  // No scheduling decision can serve a job that fails everywhere, so it is left out. Its owner
+  // tries one task at a time, which makes `unfinished` smaller than `pending`.
   if (!spec.service && unfinished < pending) return;
   slo_attainment_.observe(uid, work_of(job), spec.tasks - pending,
                           spec.tasks - std::max(pending, unfinished), registry_.running(uid), now);
@@ -105,14 +106,16 @@
     if (!served) continue;
     if (*served >= kWarningThreshold) {
       if (warned_at_.erase(name) > 0)
-        spdlog::info("class {} is served again: {:.2f}, epoch {}", name, *served,
-                     membership_.epoch().number);
+        spdlog::info(
+            "class {} is no longer underserved: fraction {:.2f} of its recent demand is served, "
+            "epoch {}",
+            name, *served, membership_.epoch().number);
       continue;
     }
     if (should_warn(name, now))
       spdlog::warn(
-          "class {} is behind: {:.2f} of what was asked of late is served, {:.2f} since the start; "
-          "most of it waits for: {}, epoch {}",
+          "class {} is underserved: fraction {:.2f} of its recent demand is served, {:.2f} since "
+          "this controller became leader; main reason of its pending tasks: {}, epoch {}",
           name, *served, sums.total.served().value_or(1), main_pending_reason(name),
           membership_.epoch().number);
   }
@@ -139,7 +142,7 @@
     tasks.at(static_cast<std::size_t>(pending_reason(uid, job, own, pending))) += pending;
   }
   const auto* const most = std::max_element(tasks.begin(), tasks.end());
-  if (*most <= 0) return "nothing: it runs";
+  if (*most <= 0) return "none, as no task is pending";
   return diagnostics::explain(static_cast<PendingReason>(most - tasks.begin()));
 }
 }  // namespace limemast::jobs
--- a/src/jobs/task_dispatcher.cpp
+++ b/src/jobs/task_dispatcher.cpp
@@ -9,10 +9,11 @@
 
 namespace limemast::jobs {
 namespace {
-/// Attempts of one membership epoch: the epoch is in the bits above.
+/// Low bits of an attempt number, which number the attempts of this controller. The membership
+/// epoch is in the bits above.
 constexpr unsigned kAttemptBits = 24;
 
-/// The zone limits of the job allow another task there.
+/// Whether the zone constraints of the job allow another task in this zone.
 bool zone_allowed(const Job& job, const std::string& zone) {
   const auto& spec = job.record.spec;
   if (spec.one_zone) {
@@ -114,8 +115,8 @@
   return std::nullopt;
 }
 
-/// The tasks of a gang find each other by the attempt: with one of its own, each would wait for the
-/// others for ever.
+/// Tasks of a gang find each other by the attempt number, so all of them must share it. With
+/// different numbers they would wait for each other indefinitely.
 std::uint64_t TaskDispatcher::next_attempt(Job& job) {
   const bool gang = job.record.spec.gang;
   if (gang && !job.assignments.empty()) return job.queue.gang_attempt;
@@ -134,9 +135,10 @@
   assignment.delivering_controller = machine_status.attached_controller;
   job.last_progress = runtime_.now();
   const auto& uid = job.record.spec.uid;
-  spdlog::debug("{} job {} task {} assigned to {} by {}, barrier epoch {}, epoch {}",
-                membership_.self(), uid, index, assignment.machine,
-                assignment.delivering_controller, job.barrier_epoch, membership_.epoch().number);
+  spdlog::debug(
+      "{}: job {} task {} assigned to machine {} through controller {}, barrier epoch {}, epoch {}",
+      membership_.self(), uid, index, assignment.machine, assignment.delivering_controller,
+      job.barrier_epoch, membership_.epoch().number);
   delivery_monitor_.watch(uid, index, assignment.attempt);
   auto start = start_message(job, index, assignment, evict);
   start.pulled = trigger == Trigger::Pull;
@@ -187,8 +189,8 @@
   const auto index = next_task(*job);
   if (!index) return message_bus_.send(from, no_task);
   assign(*job, *index, *machine_status, Trigger::Pull, {});
-  // With the last task assigned the probes are dropped at once: each would cost a pull and a
-  // refusal otherwise.
+  // Announces that no task is pending, so that the job's remaining probes are dropped at once. Each
+  // would otherwise cost a pull and a refusal.
   if (job->pending() == 0) pending_tasks_broadcast_.send({job});
 }
 }  // namespace limemast::jobs
--- a/src/jobs/task_dispatcher.hpp
+++ b/src/jobs/task_dispatcher.hpp
@@ -5,8 +5,8 @@
 #include "jobs/pending_tasks_broadcast.hpp"
 
 namespace limemast::jobs {
-/// Assigns each task to one machine at a time: on a pull of a machine that holds a probe of the
-/// job, or by the leader's placement of long jobs. Sends the start to the controller that the
+/// Assigns each task to one machine at a time, either when a machine that holds a probe of the job
+/// pulls a task or when the leader places a long task. Sends the start to the controller that the
 /// machine is attached to.
 class TaskDispatcher {
  public:
@@ -16,27 +16,31 @@
                  DeliveryMonitor& delivery_monitor, PendingReasonRecorder& pending_reasons,
                  PendingTasksBroadcast& pending_tasks_broadcast);
 
-  /// Some task of the job may be assigned now, if there is a machine and quota for it.
+  /// Whether tasks of the job may be assigned now, provided that there is a machine and quota.
   bool may_assign(const Job& job) const;
-  /// A task of the job may be assigned to this machine, its room and the team's quota apart.
+  /// Whether a task of the job may be assigned to this machine. Does not check the machine's free
+  /// resources or the team's quota.
   bool may_place(const Job& job, const MachineStatus& machine_status) const;
-  /// Assigns a task of the job to the machine by the leader's decision. `evict`: tasks there that
-  /// are stopped to make room. False if the job, the machine or the quota do not allow it.
+  /// Assigns a task of the job to the machine, as the leader decided. `evict`: tasks on the machine
+  /// that are stopped to make room. Returns false if the state of the job, the constraints on the
+  /// machine or the quota do not allow it.
   bool place(const std::string& uid, const std::string& machine,
              const std::vector<wire::TaskStatus>& evict);
-  /// The team's quota allows all pending tasks of the job together.
+  /// Whether the team's quota covers all pending tasks of the job together.
   bool quota_allows_all(const Job& job);
 
  private:
-  /// Why a machine was given a task.
+  /// What caused an assignment.
   enum class Trigger { Pull, Placement };
   void on_pull(const ControllerId& from, const messages::PullTask& message);
-  /// The machine is as the pull says, and a task of the job may be assigned to it.
+  /// Whether the pull matches the machine's current state and a task of the job may be assigned to
+  /// it.
   bool may_answer_pull(Job& job, const MachineStatus* machine_status, const ControllerId& from,
                        const messages::PullTask& message);
-  /// The team's quota allows another task of the job; if not, the refusal is remembered.
+  /// Whether the team's quota covers another task of the job. Records the time of a refusal in the
+  /// job.
   bool within_quota(Job& job);
-  /// Takes the next task to assign from the job's queue; nullopt if there is none.
+  /// Removes the next task to assign from the job's queue; nullopt if there is none.
   static std::optional<std::uint32_t> next_task(Job& job);
   void assign(Job& job, std::uint32_t index, const MachineStatus& machine_status, Trigger trigger,
               const std::vector<wire::TaskStatus>& evict);
@@ -52,6 +56,6 @@
   DeliveryMonitor& delivery_monitor_;
   PendingReasonRecorder& pending_reasons_;
   PendingTasksBroadcast& pending_tasks_broadcast_;
-  std::uint64_t attempts_ = 0;  ///< made by this controller instance
+  std::uint64_t attempts_ = 0;  ///< number of attempts made by this instance
 };
 }  // namespace limemast::jobs
--- a/src/jobs/team_guarantees.hpp
+++ b/src/jobs/team_guarantees.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What teams with guaranteed resources use of them.
+// Use of the resources that are guaranteed to teams.
 #include <map>
 #include <string>
 
@@ -9,19 +9,19 @@
 #include "wire/settings.hpp"
 
 namespace limemast::jobs {
-/// Tells whether a job's next task is within its team's guarantee. What the teams use is summed up
-/// once for each team and kept until `reset`.
+/// Decides whether a job's next task is within its team's guarantee. The use of each team is summed
+/// up once and cached until `reset`.
 class TeamGuarantees {
  public:
-  /// All arguments must outlive this.
+  /// All arguments must outlive this object.
   TeamGuarantees(const wire::Settings& settings, const cluster::JobDirectory& job_directory,
                  const machines::Registry& registry)
       : settings_(settings), job_directory_(job_directory), registry_(registry) {}
 
-  /// With one task more of this kind its team is still within its guarantee. False for teams
-  /// without one. The team must be one of the settings'.
+  /// Whether the team stays within its guarantee with one more task of this kind. False for teams
+  /// without a guarantee. The team must be in the settings.
   bool covers(const wire::JobSpec& spec);
-  /// Forgets what the teams use; to be called before each run of the scheduler.
+  /// Clears the cached use of the teams. To be called before each run of the scheduler.
   void reset() { used_.clear(); }
 
  private:
