--- a/src/jobs/failover_barrier_state.hpp
+++ b/src/jobs/failover_barrier_state.hpp
@@ -8,12 +8,12 @@
 
 namespace limemast::jobs {
 /// The failover barrier of the jobs that this controller took over. Their former owner may have
-/// assigned tasks that no present owner knows. Tasks of such a job are assigned only after every
+/// assigned tasks that are not known here. Tasks of such a job are assigned only after every
 /// registered machine has confirmed the epoch in which the job was taken over, or a later one: its
 /// heartbeat carried a fencing token of that epoch, and all tasks in that heartbeat were reconciled
 /// here.
 ///
-/// Which machines the barrier stops waiting for is decided by failover::FailoverBarrier.
+/// failover::FailoverBarrier decides which machines the barrier stops waiting for.
 class FailoverBarrierState {
  public:
   explicit FailoverBarrierState(const machines::Registry& registry) : registry_(registry) {}
--- a/src/jobs/heartbeat_reconciler.cpp
+++ b/src/jobs/heartbeat_reconciler.cpp
@@ -8,8 +8,8 @@
 
 namespace limemast::jobs {
 namespace {
-/// A machine may be preempted earlier than announced, so only this fraction of the remaining notice
-/// is relied on.
+/// A machine may be preempted earlier than its notice announces, so only this fraction of the
+/// remaining time is relied on.
 constexpr double kUsableNoticeFraction = 0.8;
 
 /// Whether the exit completes the task. Replicas of a service never complete.
@@ -136,10 +136,10 @@
                                                  const wire::Heartbeat& heartbeat) {
   if (spec.service || assignment.preemption_stop_sent || task.phase == wire::TaskPhase::Saving)
     return;
-  const auto ran =
+  const auto run_time =
       task.runs() ? net::to_seconds(runtime_.now() - assignment.running_since) : wire::Seconds(0);
   const auto time_left = *heartbeat.preemption_notice * kUsableNoticeFraction;
-  if (task.runs() && ran + time_left > spec.estimate) return;
+  if (task.runs() && run_time + time_left > spec.estimate) return;
   assignment.preemption_stop_sent = true;
   command_worker(heartbeat.machine, task, wire::CommandKind::Stop, spec.grace_period());
 }
@@ -261,15 +261,15 @@
   spdlog::debug("job {} task {}: exited on machine {}, cause {}, epoch {}", uid, index, machine,
                 wire::name_of(task.exit_cause), membership_.epoch().number);
   const auto it = job.assignments.find(index);
-  const auto ran = it != job.assignments.end() && it->second.running
-                       ? runtime_.now() - it->second.running_since
-                       : net::Duration::zero();
+  const auto run_time = it != job.assignments.end() && it->second.running
+                            ? runtime_.now() - it->second.running_since
+                            : net::Duration::zero();
   const bool completed = completes(job, task);
   release(job, index, completed ? Requeue::No : Requeue::Yes);
   if (completed)
     job_completion_.mark_done(job, index);
   else if (is_failure(task.exit_cause))
-    on_failure(job, index, machine, ran);
+    on_failure(job, index, machine, run_time);
   else if (is_refusal(task.exit_cause))
     spdlog::debug("job {} task {}: refused by machine {}, to be assigned again, epoch {}", uid,
                   index, machine, membership_.epoch().number);
@@ -278,10 +278,10 @@
 }
 
 void HeartbeatReconciler::on_failure(Job& job, std::uint32_t index, const std::string& machine,
-                                     net::Duration ran) {
+                                     net::Duration run_time) {
   const auto& uid = job.record.spec.uid;
   const auto epoch = membership_.epoch().number;
-  if (record_failure(job, machine, ran, runtime_.now()))
+  if (record_failure(job, machine, run_time, runtime_.now()))
     spdlog::info(
         "job {} failed on several machines, last with task {} on machine {}; from now on its "
         "tasks are tried one at a time, epoch {}",
--- a/src/jobs/heartbeat_reconciler.hpp
+++ b/src/jobs/heartbeat_reconciler.hpp
@@ -69,7 +69,8 @@
                          std::set<std::string> machines);
   void on_exit(Job& job, std::uint32_t index, const wire::TaskStatus& task,
                const std::string& machine);
-  void on_failure(Job& job, std::uint32_t index, const std::string& machine, net::Duration ran);
+  void on_failure(Job& job, std::uint32_t index, const std::string& machine,
+                  net::Duration run_time);
 
   net::Runtime& runtime_;
   cluster::Membership& membership_;
--- a/src/jobs/job_owner.cpp
+++ b/src/jobs/job_owner.cpp
@@ -74,7 +74,8 @@
   return owned_jobs_.add(std::move(job));
 }
 
-/// The lost former owner may have assigned tasks and may have recorded which ones are complete.
+/// The former owner, which was lost, may have assigned tasks and may have recorded some as
+/// complete.
 void JobOwner::apply_failover_barrier(Job& job) {
   job.barrier_epoch = membership_.epoch().number;
   job.completions.loaded = job.record.spec.service;
--- a/src/jobs/job_owner.hpp
+++ b/src/jobs/job_owner.hpp
@@ -5,8 +5,9 @@
 #include "jobs/task_dispatcher.hpp"
 
 namespace limemast::jobs {
-/// Owns jobs: short ones that this controller accepted or took over, and all long ones while it
-/// leads. Only the owner of a job assigns its tasks, each to one machine at a time.
+/// Owns the short jobs that this controller accepted and, while it leads, all long jobs and the
+/// short jobs of lost members. Only the owner of a job assigns its tasks, each to one machine at a
+/// time.
 ///
 /// This class takes ownership of jobs, runs the periodic work, and connects the classes that do the
 /// rest: OwnedJobs (state), TaskDispatcher (assignments), DeliveryMonitor (unresolved starts),
@@ -48,7 +49,7 @@
   void on_active_record_removed(const std::string& uid) {
     job_completion_.on_active_record_removed(uid);
   }
-  /// To be called when the job's final record is stored, whoever wrote it. No task of the job is
+  /// To be called when any controller has stored the job's final record. No task of the job is
   /// assigned afterwards.
   void on_job_ended(const std::string& uid, Phase phase) {
     job_completion_.on_job_ended(uid, phase);
@@ -87,9 +88,9 @@
   bool has_long_tasks(const std::string& machine) const {
     return owned_jobs_.has_long_tasks(machine);
   }
-  /// Increases with every event that may allow the leader to place further tasks.
+  /// Counts events that may allow the leader to place further tasks.
   std::uint64_t capacity_changes() const { return owned_jobs_.capacity_changes(); }
-  /// Increases each time this controller takes ownership of a long job.
+  /// Counts the long jobs that this controller has taken ownership of.
   std::uint64_t long_job_arrivals() const { return owned_jobs_.long_job_arrivals(); }
 
   /// The epoch that machines must confirm before all pending tasks may be assigned; kNoEpoch if
@@ -116,8 +117,8 @@
   };
   void on_probes_dropped(const messages::ProbesDropped& message);
   bool should_take_ownership(const std::string& uid) const;
-  /// Whether this controller has owned the job since it was accepted, so that no other owner can
-  /// have assigned tasks of it. Long jobs must have been accepted since this controller has led.
+  /// Whether no other controller can have assigned tasks of the job: a short job was accepted here,
+  /// or a long one was accepted since this controller became leader.
   bool owned_since_acceptance(const ActiveJob& record) const;
   Job& add_owned_job(const ActiveJob& record);
   void apply_failover_barrier(Job& job);
--- a/src/jobs/long_task_map_publisher.cpp
+++ b/src/jobs/long_task_map_publisher.cpp
@@ -47,7 +47,7 @@
   double largest_machine = 0;
   std::vector<ReservableMachine> reservable;
 
-  /// The spare fraction is free, and half of the largest machine in addition.
+  /// Whether the spare fraction plus half of the largest machine is free.
   bool has_enough_spare() const {
     return free >= with_services * kServiceSpareFraction + largest_machine / 2;
   }
--- a/src/jobs/long_task_placement.hpp
+++ b/src/jobs/long_task_placement.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Chooses machines for long tasks, one task at a time or a whole gang together.
+// Chooses machines for long tasks, either for single tasks or for all tasks of a gang together.
 #include <vector>
 
 #include "jobs/job_owner.hpp"
--- a/src/jobs/long_task_scheduler.cpp
+++ b/src/jobs/long_task_scheduler.cpp
@@ -6,11 +6,10 @@
 namespace limemast::jobs {
 namespace {
 using namespace std::chrono_literals;
-/// Minimum interval between runs while capacity changes, which it does constantly in a large
-/// cluster.
+/// Minimum interval between runs while capacity changes, as it does constantly in a large cluster.
 constexpr auto kRunInterval = 200ms;
-/// Minimum interval between runs without a known change. Backoffs expire and machines fall silent
-/// without one.
+/// Minimum interval between runs while no change is known. Runs are still needed, because backoffs
+/// expire and machines stop sending heartbeats.
 constexpr auto kIdleRunInterval = 500ms;
 /// A machine that has sent no heartbeat for this many heartbeat intervals gets no tasks.
 constexpr double kMaxMissedHeartbeats = 2.5;
--- a/src/jobs/orphaned_usage.cpp
+++ b/src/jobs/orphaned_usage.cpp
@@ -5,7 +5,7 @@
 using wire::Resources;
 constexpr double kUnlimited = 1e15;  ///< assumed capacity of a machine of unknown type
 
-/// Resources of one task that count towards a quota, which does not include RAM.
+/// The resources of one task that count towards a quota. RAM does not count.
 Resources quota_resources(const wire::JobSpec& spec) { return {spec.cpus, 0, spec.accelerators}; }
 
 /// Whether a member has each of the job's tasks assigned or knows that it is gone: the job never
@@ -40,7 +40,7 @@
     const std::function<bool(const std::string& machine, const wire::TaskStatus& task)>&
         assigned_here) {
   OrphanedUsage usage;
-  // Orphaned tasks are rare, and without any the machines need not be searched.
+  // Orphaned tasks are rare. If there are none, the machines need not be searched.
   const auto may_be_orphaned = [&](const std::string& uid) {
     return !has_active_owner(job_directory.find(uid), membership);
   };
--- a/src/jobs/orphaned_usage.hpp
+++ b/src/jobs/orphaned_usage.hpp
@@ -7,10 +7,9 @@
 
 namespace limemast::jobs {
 /// Resources of orphaned tasks: their job ended while its owner was lost, or the record of their
-/// job cannot be read. A quota limits what may be on machines, whether or not an owner knows of it.
-/// An orphaned task therefore counts until a heartbeat of its machine, the machine's next
-/// incarnation or the machine's removal proves it gone (test:
-/// QuotaLimitDuringFailover.CountsTasksOfUnknownJobs).
+/// job cannot be read. A quota also limits tasks on machines that no owner knows of. An orphaned
+/// task therefore counts until a heartbeat of its machine, the machine's next incarnation or the
+/// machine's removal proves it gone (test: QuotaLimitDuringFailover.CountsTasksOfUnknownJobs).
 struct OrphanedUsage {
   std::map<std::string, wire::Resources> by_team;
   /// Usage of tasks whose team is unknown: the most that they can use on their machines. Counts for
--- a/src/jobs/owned_jobs.hpp
+++ b/src/jobs/owned_jobs.hpp
@@ -56,9 +56,9 @@
   /// To be called for each newer heartbeat of the machine, which may show more free resources and
   /// further tasks.
   void on_heartbeat(const std::string& machine);
-  /// Increases with every event that may allow the leader to place further tasks.
+  /// Counts events that may allow the leader to place further tasks.
   std::uint64_t capacity_changes() const { return capacity_changes_; }
-  /// Increases with each long job that is added.
+  /// Counts the long jobs added.
   std::uint64_t long_job_arrivals() const { return long_job_arrivals_; }
 
  private:
--- a/src/jobs/pending_reason_recorder.hpp
+++ b/src/jobs/pending_reason_recorder.hpp
@@ -13,8 +13,8 @@
                         diagnostics::PendingReasonTable& pending_reasons,
                         diagnostics::CapacityDiagnosis& capacity_diagnosis,
                         const FailoverBarrierState& failover_barrier);
-  /// The reason that prevents this controller from assigning any task of the job, wherever there
-  /// may be room; nullopt if there is none.
+  /// The reason that prevents this controller from assigning any task of the job, whatever capacity
+  /// is free; nullopt if there is none.
   std::optional<diagnostics::PendingReason> blocking_reason(const Job& job) const;
   /// Enters why the job's tasks are still pending after a scheduling decision.
   void record(const Job& job);
--- a/src/jobs/preemption.cpp
+++ b/src/jobs/preemption.cpp
@@ -96,8 +96,8 @@
   // Urgent jobs preempt all jobs of lower rank; other jobs preempt only best-effort ones.
   if (victim.rank < job.rank && (job.rank >= wire::Rank::Urgent || settings_.yields(victim)))
     return true;
-  // Tasks of a team without a guarantee are preempted so that another team gets what it is
-  // guaranteed.
+  // Tasks of teams without a guarantee are preempted so that other teams get their guaranteed
+  // resources.
   return settings_.guest(victim.team) && !settings_.guest(job.team) && guarantees_.covers(job);
 }
 }  // namespace limemast::jobs
--- a/src/jobs/prober.cpp
+++ b/src/jobs/prober.cpp
@@ -11,15 +11,15 @@
 /// A probe that was lost on a broken connection is never pulled, and its machine would not be
 /// probed again. Without a pull for this long, all probes are sent again.
 constexpr auto kAssumeLostAfter = 30s;
-/// Delay before further probes are drawn after a controller rejected some for another reason than
-/// long tasks. A full queue rarely has room again earlier.
+/// Delay before more probes are drawn for a job after some were rejected for another reason than
+/// long tasks, usually by a full queue, which rarely has room again earlier.
 constexpr auto kRedrawPause = 2s;
-/// How long a job must be without progress before further machines with free resources are probed,
-/// and the interval between such searches.
+/// A job without progress for this long probes further machines with free resources, and does so
+/// again at each interval.
 constexpr auto kFurtherProbesAfter = 5s;
 constexpr auto kFurtherProbesInterval = 2s;
-/// How long a job must be without progress before it probes machines that hold long tasks or are
-/// reserved for services. No job may wait 90 s while there is room.
+/// A job without progress for this long also probes machines that hold long tasks or are reserved
+/// for services. No job may wait 90 s while there is room.
 constexpr auto kProbeAnywhereAfter = 60s;
 /// Stages of a redraw; the last one is machines::kLastResort.
 constexpr int kFirstDraw = 0;
--- a/src/jobs/quota.hpp
+++ b/src/jobs/quota.hpp
@@ -37,7 +37,7 @@
   void set_orphaned_usage(OrphanedUsage orphaned_usage) {
     allocator_.set_orphaned_usage(std::move(orphaned_usage));
   }
-  /// Counts the resources of a task that was assigned or adopted as used.
+  /// Counts the resources of an assigned or adopted task as used.
   void use(const std::string& team, const Resources& need) { share_.use(team, need); }
   /// Counts the resources of a task as free again.
   void release(const std::string& team, const Resources& need) { share_.release(team, need); }
@@ -52,9 +52,9 @@
   /// To be called when the membership epoch has changed.
   void on_epoch_changed() { allocator_.on_epoch_changed(share_.on_epoch_changed()); }
   /// The newest epoch in which a member was lost or the leader changed. Earlier grants must be
-  /// determined anew.
+  /// reconstructed.
   ids::EpochNumber recovery_epoch() const { return allocator_.recovery_epoch(); }
-  /// Whether this controller leads and withholds grants until all earlier ones are determined.
+  /// Whether this controller leads and withholds grants until all earlier ones are reconstructed.
   bool recovering() const { return allocator_.recovering(); }
   /// Whether the use of any team is limited. Constant.
   bool any_limited() const { return limits_.any_limited(); }
--- a/src/jobs/quota_allocator.hpp
+++ b/src/jobs/quota_allocator.hpp
@@ -10,9 +10,9 @@
 
 namespace limemast::jobs {
 /// Grants the members shares of the teams' limits while this controller leads. After a change of
-/// leader or the loss of a member, it grants nothing until every member has reported what it holds
-/// and all running tasks are known, because earlier grants must be determined anew. Not
-/// thread-safe; all calls come from the event loop.
+/// leader or the loss of a member, earlier grants must be reconstructed: nothing is granted until
+/// every member has reported what it holds and all running tasks are known. Not thread-safe; all
+/// calls come from the event loop.
 class QuotaAllocator {
  public:
   /// All arguments must outlive the allocator. `own_share`: the share of this controller.
--- a/src/jobs/quota_share.hpp
+++ b/src/jobs/quota_share.hpp
@@ -8,9 +8,9 @@
 
 namespace limemast::jobs {
 /// The quota that this member holds for each limited team. The leader grants totals. The member
-/// lowers what it holds before it reports that to the leader, and the leader counts the higher
-/// amount until the report arrives, so the sum over all members never exceeds a limit. Only CPUs
-/// and accelerators are counted. Not thread-safe; all calls come from the event loop.
+/// lowers what it holds before it reports the reduction, and the leader counts the higher amount
+/// until the report arrives, so the sum over all members never exceeds a limit. Only CPUs and
+/// accelerators are counted. Not thread-safe; all calls come from the event loop.
 class QuotaShare {
  public:
   /// All arguments must outlive the share. Subscribes to `QuotaGrant`.
@@ -38,8 +38,8 @@
 
   /// The quota held for the team; zero if the team was never seen here.
   wire::Resources held(const std::string& team) const;
-  /// Raises the quota held for each team to at least what is used, and returns the result by team.
-  /// Used by a leader that has determined what lost members had assigned.
+  /// Raises the quota held for each team to at least the amount used, and returns the result by
+  /// team. Called on the leader once all tasks that lost members had assigned are known.
   std::map<std::string, wire::Resources> raise_held_to_used();
 
  private:
--- a/src/jobs/refused_machines.cpp
+++ b/src/jobs/refused_machines.cpp
@@ -4,8 +4,8 @@
 namespace {
 using namespace std::chrono_literals;
 constexpr auto kRefusalBackoff = 500ms;
-/// The backoff until a newer heartbeat arrives, which is longer because only that heartbeat shows
-/// the resources held back for other owners.
+/// The backoff is longer until a newer heartbeat arrives, because only that heartbeat shows the
+/// resources held back for other owners.
 constexpr auto kRefusalBackoffWithoutHeartbeat = 5s;
 }  // namespace
 
--- a/src/jobs/retry_backoff.cpp
+++ b/src/jobs/retry_backoff.cpp
@@ -17,10 +17,10 @@
 constexpr auto kTrialMargin = 3s;
 }  // namespace
 
-bool record_failure(Job& job, const std::string& machine, net::Duration ran, net::Time now) {
+bool record_failure(Job& job, const std::string& machine, net::Duration run_time, net::Time now) {
   auto& retry = job.retry;
   retry.last_failure_by_machine[machine] = now;
-  retry.longest_failed_run = std::max(retry.longest_failed_run, ran);
+  retry.longest_failed_run = std::max(retry.longest_failed_run, run_time);
   const auto machines = static_cast<unsigned>(retry.last_failure_by_machine.size());
   if (machines > 1)
     retry.retry_after = now + kBackoffUnit * (1U << std::min(machines, kMaxBackoffExponent));
--- a/src/jobs/retry_backoff.hpp
+++ b/src/jobs/retry_backoff.hpp
@@ -4,11 +4,11 @@
 #include "jobs/job.hpp"
 
 namespace limemast::jobs {
-/// Records that a task of the job failed on this machine after it ran for `ran`. A job that failed
-/// on several machines is backed off, because its remaining estimate stays small and it would win
-/// every pull. A job that failed only on one machine is not, so that one faulty machine cannot
+/// Records that a task of the job failed on this machine after `run_time`. A job that failed on
+/// several machines is backed off, because its remaining estimate stays small and it would win
+/// every pull. A job that failed on only one machine is not, so that one faulty machine cannot
 /// block it. Returns true when the job begins to count as failing everywhere.
-bool record_failure(Job& job, const std::string& machine, net::Duration ran, net::Time now);
+bool record_failure(Job& job, const std::string& machine, net::Duration run_time, net::Time now);
 /// Removes failures that are too old to keep the job off their machine.
 void forget_expired_failures(Job& job, net::Time now);
 /// Whether the job failed on this machine so recently that it is not assigned there.
--- a/src/jobs/short_task_capacity.cpp
+++ b/src/jobs/short_task_capacity.cpp
@@ -32,7 +32,7 @@
 
 void ShortTaskCapacity::reclaim() {
   auto missing = missing_cpus();
-  // A brief shortage resolves by itself, because short tasks end all the time.
+  // A brief shortage needs no action, because short tasks end all the time.
   const bool had_shortage = std::exchange(had_shortage_, missing > 0);
   if (!had_shortage || missing <= 0) return;
   for (const auto& machine : reclaimable_machines()) {
--- a/src/jobs/task_dispatcher.hpp
+++ b/src/jobs/task_dispatcher.hpp
@@ -16,7 +16,7 @@
                  DeliveryMonitor& delivery_monitor, PendingReasonRecorder& pending_reasons,
                  PendingTasksBroadcast& pending_tasks_broadcast);
 
-  /// Whether tasks of the job may be assigned now, provided that there is a machine and quota.
+  /// Whether tasks of the job may be assigned now. Does not check machines or the team's quota.
   bool may_assign(const Job& job) const;
   /// Whether a task of the job may be assigned to this machine. Does not check the machine's free
   /// resources or the team's quota.
