--- a/src/jobs/long_task_scheduler.cpp
+++ b/src/jobs/long_task_scheduler.cpp
@@ -141,9 +141,9 @@
     }
     const TaskShape shape(spec);
     if (!shapes_without_room.contains(shape)) {
-      const auto fitting = placement_.fitting(*job, free);
-      if (fitting.empty()) shapes_without_room.insert(shape);
-      while (job->pending() > 0 && placement_.place_one(*job, fitting)) {
+      const auto with_room = placement_.slots_with_room(*job, free);
+      if (with_room.empty()) shapes_without_room.insert(shape);
+      while (job->pending() > 0 && placement_.place_one(*job, with_room)) {
       }
     }
     const bool may_preempt =
