--- a/src/jobs/pending_reason_recorder.cpp
+++ b/src/jobs/pending_reason_recorder.cpp
@@ -29,7 +29,7 @@
 
 void PendingReasonRecorder::record(const Job& job) {
   if (!pending_reasons_.on()) return;
-  if (!job.alive())
+  if (!job.active())
     pending_reasons_.clear(job.record.spec.uid, runtime_.now());
   else if (job.pending() == 0)
     record_starting(job);
@@ -58,14 +58,15 @@
     pending_reasons_.note(spec.uid, *blocked, pending, now, until);
     return;
   }
-  // A quota that refuses a team below its limit is granted more within a moment: no reason to show.
+  // If the team is below its limit, the leader grants more within a moment, so the refusal is not
+  // shown as a reason.
   if (job.quota_refused_recently(now) && capacity_diagnosis_.at_limit(spec, now)) {
     pending_reasons_.note(spec.uid, PendingReason::TeamLimit, pending, now);
     return;
   }
-  const bool has_failed = !job.retry.failed_on.empty();
+  const bool has_failures = !job.retry.last_failure_by_machine.empty();
   const auto verdict =
-      capacity_diagnosis_.judge(spec, job.record.is_long, pending, job.zones, has_failed, now);
+      capacity_diagnosis_.judge(spec, job.record.is_long, pending, job.zones, has_failures, now);
   pending_reasons_.note(spec.uid, verdict.reason, pending, now, verdict.until);
 }
 }  // namespace limemast::jobs
--- a/src/jobs/quota_allocator.cpp
+++ b/src/jobs/quota_allocator.cpp
@@ -7,7 +7,7 @@
 using namespace std::chrono_literals;
 using wire::Resources;
 
-/// A grant that its member has not confirmed by then is sent again.
+/// If a member has not confirmed a grant within this time, the grant is sent again.
 constexpr auto kGrantConfirmTimeout = 500ms;
 }  // namespace
 
@@ -23,18 +23,18 @@
       [this](const auto& from, const auto& message) { on_demand(from, message); });
 }
 
-bool QuotaAllocator::all_members_known() const {
+bool QuotaAllocator::all_members_reported() const {
   const auto& members = membership_.epoch().members;
   return std::all_of(members.begin(), members.end(), [&](const auto& controller) {
     const auto it = members_.find(controller);
-    return it != members_.end() && it->second.known;
+    return it != members_.end() && it->second.reported;
   });
 }
 
-void QuotaAllocator::try_to_recover(bool all_tasks_known) {
-  if (!recovering() || !all_tasks_known || !all_members_known()) return;
-  recovered_ = true;
-  // Tasks of lost members were taken over and are counted by their new owners.
+void QuotaAllocator::finish_recovery_if_complete(bool all_tasks_known) {
+  if (!recovering() || !all_tasks_known || !all_members_reported()) return;
+  recovery_finished_ = true;
+  // Tasks of lost members were taken over, and their new owners count them.
   std::erase_if(members_, [&](const auto& member) { return !membership_.is_member(member.first); });
   auto& own = members_[membership_.self()];
   for (auto& [team, held] : own_share_.raise_held_to_used()) own.granted[team] = held;
@@ -42,26 +42,26 @@
 
 void QuotaAllocator::on_epoch_changed(bool leader_changed) {
   if (leader_changed) members_.clear();
-  // A member that joined was granted nothing yet. One that was lost had tasks that are known only
-  // when all machines have shown them: nothing new is granted until then.
+  // A member that joined holds no quota yet. The tasks of a lost member are known only after all
+  // machines have reported them, so nothing is granted until then.
   if (!leader_changed && !membership_.lost_member()) return;
-  recovered_ = false;
-  recovering_since_ = membership_.epoch().number;
+  recovery_finished_ = false;
+  recovery_epoch_ = membership_.epoch().number;
 }
 
 void QuotaAllocator::on_demand(const cluster::ControllerId& from,
                                const messages::QuotaDemand& demand) {
   if (!membership_.is_leader()) return;
   auto& member = members_[from];
-  const bool current = !member.known || demand.serial == member.serial;
+  const bool current = !member.reported || demand.serial == member.serial;
   if (!current) {
-    // The member does not know our last grant, which may have been lost: while it does not,
-    // nothing that it says can be applied. A grant gives totals, so a second copy does no harm.
+    // The member has not applied the last grant, which may be lost, so its report is outdated and
+    // is ignored. A grant contains totals, so a second copy does no harm.
     if (runtime_.now() - member.grant_sent_at > kGrantConfirmTimeout) send_grant(from, member);
     return;
   }
   const bool granted_more = apply_demand(from, member, demand);
-  member.known = true;
+  member.reported = true;
   if (!granted_more) return;
   ++member.serial;
   send_grant(from, member);
@@ -74,9 +74,10 @@
     const auto* limit = limits_.find(team);
     if (!limit) continue;
     auto& granted = member.granted[team];
-    // What this controller holds may have grown since it sent this, by tasks that it found running.
+    // The share of this controller may have grown since it sent the demand, through tasks that it
+    // adopted.
     granted = from == membership_.self() ? own_share_.held(team) : entry.held;
-    if (!recovered_) continue;
+    if (!recovery_finished_) continue;
     const auto free = free_quota(team, *limit);
     const double cpus = std::clamp(entry.wanted.cpus - granted.cpus, 0.0, std::max(0.0, free.cpus));
     const double accelerators = std::clamp(entry.wanted.accelerators - granted.accelerators, 0.0,
--- a/src/jobs/scheduling_order.cpp
+++ b/src/jobs/scheduling_order.cpp
@@ -2,6 +2,7 @@
 
 namespace limemast::jobs {
 namespace {
+/// Number of values of `SchedulingOrder::last_resort`.
 constexpr int kLastResortSteps = 4;
 
 std::int64_t milliseconds(net::WallTime time) {
@@ -9,22 +10,22 @@
 }
 }  // namespace
 
-std::optional<net::WallTime> target_of(const ActiveJob& job, const wire::Settings& settings,
-                                       net::WallTime now) {
-  std::optional<net::WallTime> target;
+std::optional<net::WallTime> reachable_deadline(const ActiveJob& job,
+                                                const wire::Settings& settings, net::WallTime now) {
+  std::optional<net::WallTime> deadline;
   const auto consider = [&](wire::Seconds within) {
     const auto at = job.submitted + net::to_duration(within);
     const bool reachable = now + net::to_duration(job.spec.estimate) <= at;
-    if (reachable && (!target || at < *target)) target = at;
+    if (reachable && (!deadline || at < *deadline)) deadline = at;
   };
   if (job.spec.due) {
     consider(*job.spec.due);
-    return target;
+    return deadline;
   }
   for (const auto& objective : settings.objectives)
     if (objective.kind == "finished" && objective.workload == job.spec.workload)
       consider(objective.within);
-  return target;
+  return deadline;
 }
 
 int last_resort_step(const wire::JobSpec& spec, const std::set<std::string>& underserved_classes,
@@ -39,17 +40,17 @@
                                  const std::set<std::string>& underserved_classes,
                                  TeamGuarantees& guarantees, net::WallTime now) {
   const auto& spec = job.record.spec;
-  const auto target = target_of(job.record, settings, now);
-  const bool has_target = spec.due || settings.expects_finish(spec.workload);
+  const auto deadline = reachable_deadline(job.record, settings, now);
+  const bool has_deadline = spec.due || settings.expects_finish(spec.workload);
   const int rank = static_cast<int>(spec.rank);
   SchedulingOrder order;
   order.urgent_rank = spec.rank >= wire::Rank::Urgent ? -rank : 0;
   order.last_resort = last_resort_step(spec, underserved_classes, guarantees);
   order.best_effort = settings.yields(spec);
-  // What cannot be in time any more lets those pass that can: in a backlog everybody would be late
-  // otherwise.
-  order.deadline_missed = has_target && !target;
-  order.target = target.value_or(net::WallTime::max());
+  // Jobs that can no longer meet their deadline come after those that can. Otherwise every job
+  // would be late in a backlog.
+  order.deadline_missed = has_deadline && !deadline;
+  order.deadline = deadline.value_or(net::WallTime::max());
   order.rank = -rank;
   order.submitted = job.record.submitted;
   order.uid = spec.uid;
@@ -60,7 +61,7 @@
   return {urgent_rank * kLastResortSteps + last_resort,
           best_effort ? 1 : 0,
           deadline_missed ? 1 : 0,
-          milliseconds(target),
+          milliseconds(deadline),
           rank,
           milliseconds(submitted)};
 }
