--- a/src/app/controller_instance.cpp
+++ b/src/app/controller_instance.cpp
@@ -35,7 +35,7 @@
       completion_broadcast_(runtime, settings, membership_, message_bus_,
                             [this](const std::string& uid, const jobs::Status& end) {
                               const bool news = job_directory_.mark_final(uid, runtime_.now());
-                              status_reader_.remember(uid, end);
+                              status_reader_.cache_final_status(uid, end);
                               job_owner_.on_job_ended(uid, end.phase);
                               if (news) on_end(uid);
                             }),
@@ -59,15 +59,15 @@
                     drains_, drain_controller_, slo_monitor_.slo_attainment(), metrics) {
   // Least remaining work first (paper, section 4.3): the line of short jobs, the same at every
   // controller.
-  if (pending_reasons_.on())
+  if (pending_reasons_.enabled())
     job_directory_.watch_pending_tasks([this](const cluster::ActiveJob& job) {
       if (job.is_long) return;
       if (job.pending_tasks.value_or(0) == 0 || job.ended)
-        return pending_reasons_.least_work().erase(job.spec.uid);
+        return pending_reasons_.short_job_queue().erase(job.spec.uid);
       const auto work =
           *job.pending_tasks *
           std::chrono::duration_cast<std::chrono::milliseconds>(job.spec.estimate).count();
-      pending_reasons_.least_work().put(job.spec.uid, {work, 0, 0, 0, 0, 0});
+      pending_reasons_.short_job_queue().put(job.spec.uid, {work, 0, 0, 0, 0, 0});
     });
 }
 
@@ -218,7 +218,7 @@
   }
   if (path == kSubmissions) {
     if (request.method != "POST") return not_allowed("POST");
-    if (auto away = admission_filter_.refusal(overload::RequestClass::Submission))
+    if (auto away = admission_filter_.rejection(overload::RequestClass::Submission))
       return respond(std::move(*away));
     return job_api_.submit(request.body, std::move(respond));
   }
@@ -230,7 +230,7 @@
       return job_api_.abort(rest.substr(0, rest.size() - kAbort.size()), std::move(respond));
     }
     if (request.method != "GET") return not_allowed("GET");
-    if (auto away = admission_filter_.refusal(overload::RequestClass::StatusQuery))
+    if (auto away = admission_filter_.rejection(overload::RequestClass::StatusQuery))
       return respond(std::move(*away));
     return job_api_.query(rest, std::move(respond));
   }
--- a/src/diagnostics/capacity_diagnosis.cpp
+++ b/src/diagnostics/capacity_diagnosis.cpp
@@ -136,23 +136,23 @@
   return room.fits(Resources::of(spec));
 }
 
-const std::map<std::string, Resources>& CapacityDiagnosis::used(net::Time now) {
-  if (used_at_ != net::Time{} && now - used_at_ < kMaxAge) return used_;
-  used_at_ = now;
-  used_.clear();
+const std::map<std::string, Resources>& CapacityDiagnosis::team_usage(net::Time now) {
+  if (team_usage_at_ != net::Time{} && now - team_usage_at_ < kMaxAge) return team_usage_;
+  team_usage_at_ = now;
+  team_usage_.clear();
   for (const auto& [uid, job] : job_directory_.all())
     if (const double tasks = registry_.running(uid); tasks > 0 && job.spec_known)
-      used_[job.spec.team] +=
+      team_usage_[job.spec.team] +=
           {tasks * job.spec.cpus, tasks * job.spec.ram_gb, tasks * job.spec.accelerators};
-  return used_;
+  return team_usage_;
 }
 
-bool CapacityDiagnosis::at_limit(const wire::JobSpec& spec, net::Time now) {
+bool CapacityDiagnosis::is_at_quota_limit(const wire::JobSpec& spec, net::Time now) {
   const auto team = settings_.teams.find(spec.team);
   if (team == settings_.teams.end()) return false;
-  const auto& used_by_team = used(now);
-  const auto found = used_by_team.find(spec.team);
-  auto with_next_grant = found == used_by_team.end() ? Resources{} : found->second;
+  const auto& usage = team_usage(now);
+  const auto found = usage.find(spec.team);
+  auto with_next_grant = found == usage.end() ? Resources{} : found->second;
   with_next_grant += {spec.cpus * kTasksPerGrant, 0, spec.accelerators * kTasksPerGrant};
   const auto& limits = team->second;
   return (limits.cpus_max > 0 && with_next_grant.cpus > limits.cpus_max) ||
@@ -185,13 +185,13 @@
 
 /// The reason that is expected to end first is named; of those that an operator can lift, before
 /// those that nobody can.
-CapacityDiagnosis::Diagnosis CapacityDiagnosis::judge(
+CapacityDiagnosis::Diagnosis CapacityDiagnosis::diagnose(
     const wire::JobSpec& spec, bool is_long, std::uint32_t waiting,
     const std::map<std::string, std::uint32_t>& zones, bool failed, net::Time now) {
   const auto offer = combine(survey(spec, is_long, now), spec, zones);
   if (offer.tasks_with_room > 0 && offer.tasks_with_room >= waiting * kMinShareWithRoom)
     return {failed ? PendingReason::BackingOff : PendingReason::Placing, std::nullopt};
-  if (offer.room_on_drained) return {PendingReason::Drain, std::nullopt};
+  if (offer.room_on_drained) return {PendingReason::Draining, std::nullopt};
   if (offer.provisioned_at) return {PendingReason::Booting, offer.provisioned_at};
   if (offer.guaranteed_room) return {PendingReason::OthersGuarantee, std::nullopt};
   if (offer.room_in_forbidden_zone) return {PendingReason::ZoneRule, std::nullopt};
--- a/src/diagnostics/capacity_diagnosis.hpp
+++ b/src/diagnostics/capacity_diagnosis.hpp
@@ -28,12 +28,12 @@
   /// `waiting`: tasks that wait. Where there is room for few of them only, the reason is what keeps
   /// the others. `zones`: how many of the job's tasks are in each zone. `failed`: it has failed on
   /// some machine lately.
-  Diagnosis judge(const wire::JobSpec& spec, bool is_long, std::uint32_t waiting,
-                  const std::map<std::string, std::uint32_t>& zones, bool failed, net::Time now);
+  Diagnosis diagnose(const wire::JobSpec& spec, bool is_long, std::uint32_t waiting,
+                     const std::map<std::string, std::uint32_t>& zones, bool failed, net::Time now);
   /// The team could not use more of its quota than it does, whatever room there is.
-  bool at_limit(const wire::JobSpec& spec, net::Time now);
+  bool is_at_quota_limit(const wire::JobSpec& spec, net::Time now);
   /// What each team's running tasks use, at most a second old.
-  const std::map<std::string, wire::Resources>& used(net::Time now);
+  const std::map<std::string, wire::Resources>& team_usage(net::Time now);
 
  private:
   /// All that decides which machines may run a job's tasks: jobs of one shape share a survey.
@@ -99,7 +99,7 @@
   const cluster::JobDirectory& job_directory_;
   const machines::Registry& registry_;
   std::map<JobShape, Survey> surveys_;
-  std::map<std::string, wire::Resources> used_;
-  net::Time used_at_{};
+  std::map<std::string, wire::Resources> team_usage_;
+  net::Time team_usage_at_{};
 };
 }  // namespace limemast::diagnostics
--- a/src/diagnostics/order_statistic_tree.cpp
+++ b/src/diagnostics/order_statistic_tree.cpp
@@ -39,7 +39,7 @@
   tree_->keys.erase(it);
 }
 
-std::optional<std::size_t> OrderStatisticTree::place(const std::string& uid) const {
+std::optional<std::size_t> OrderStatisticTree::position(const std::string& uid) const {
   auto it = tree_->keys.find(uid);
   if (it == tree_->keys.end()) return std::nullopt;
   return tree_->order.order_of_key({it->second, uid}) + 1;
--- a/src/diagnostics/order_statistic_tree.hpp
+++ b/src/diagnostics/order_statistic_tree.hpp
@@ -27,7 +27,7 @@
   /// Does nothing if the job is not in the queue.
   void erase(const std::string& uid);
   /// The job's position, 1 for the first; nullopt if it is not in the queue.
-  std::optional<std::size_t> place(const std::string& uid) const;
+  std::optional<std::size_t> position(const std::string& uid) const;
   std::size_t size() const;
 
  private:
--- a/src/diagnostics/pending_reason.cpp
+++ b/src/diagnostics/pending_reason.cpp
@@ -25,15 +25,15 @@
       return "zone_rule";
     case PendingReason::BackingOff:
       return "backing_off";
-    case PendingReason::Takeover:
+    case PendingReason::FailoverBarrier:
       return "takeover";
-    case PendingReason::StateAway:
+    case PendingReason::StoreUnavailable:
       return "state_away";
-    case PendingReason::Drain:
+    case PendingReason::Draining:
       return "drain";
-    case PendingReason::Image:
+    case PendingReason::FetchingImage:
       return "image";
-    case PendingReason::OwnerSilent:
+    case PendingReason::OwnerUnresponsive:
       return "owner_silent";
   }
   return "";
@@ -63,15 +63,15 @@
       return "its rule about zones allows none with room";
     case PendingReason::BackingOff:
       return "pauses after failures";
-    case PendingReason::Takeover:
+    case PendingReason::FailoverBarrier:
       return "held until a lost controller's tasks are accounted for";
-    case PendingReason::StateAway:
+    case PendingReason::StoreUnavailable:
       return "the state service does not answer";
-    case PendingReason::Drain:
+    case PendingReason::Draining:
       return "machines with room are being drained";
-    case PendingReason::Image:
+    case PendingReason::FetchingImage:
       return "machines fetch its image";
-    case PendingReason::OwnerSilent:
+    case PendingReason::OwnerUnresponsive:
       return "the controller that owns it does not answer";
   }
   return "";
--- a/src/diagnostics/pending_reason_table.cpp
+++ b/src/diagnostics/pending_reason_table.cpp
@@ -9,9 +9,9 @@
   wait.summed_until = now;
 }
 
-void PendingReasonTable::note(const std::string& uid, PendingReason reason, std::uint32_t tasks,
-                              net::Time now, std::optional<net::Time> until) {
-  if (!on_) return;
+void PendingReasonTable::record(const std::string& uid, PendingReason reason, std::uint32_t tasks,
+                                net::Time now, std::optional<net::Time> until) {
+  if (!enabled_) return;
   auto [it, fresh] = waits_.try_emplace(uid);
   auto& wait = it->second;
   wait.until = until;
--- a/src/diagnostics/pending_reason_table.hpp
+++ b/src/diagnostics/pending_reason_table.hpp
@@ -21,12 +21,12 @@
 /// off.
 class PendingReasonTable {
  public:
-  explicit PendingReasonTable(bool on) : on_(on) {}
-  bool on() const { return on_; }
+  explicit PendingReasonTable(bool enabled) : enabled_(enabled) {}
+  bool enabled() const { return enabled_; }
 
   /// Records that `tasks` of the job's tasks wait for this reason.
-  void note(const std::string& uid, PendingReason reason, std::uint32_t tasks, net::Time now,
-            std::optional<net::Time> until = std::nullopt);
+  void record(const std::string& uid, PendingReason reason, std::uint32_t tasks, net::Time now,
+              std::optional<net::Time> until = std::nullopt);
   /// None of its tasks waits any more.
   void clear(const std::string& uid, net::Time now);
   /// The same, but only if it waits for this reason.
@@ -47,21 +47,21 @@
   const Sums& sums() const { return sums_; }
 
   /// The queue of long jobs, in the leader's scheduling order; empty on other members.
-  OrderStatisticTree& placement() { return placement_; }
+  OrderStatisticTree& long_job_queue() { return long_job_queue_; }
   /// The queue of short jobs, by least remaining work.
-  OrderStatisticTree& least_work() { return least_work_; }
-  const OrderStatisticTree& placement() const { return placement_; }
-  const OrderStatisticTree& least_work() const { return least_work_; }
+  OrderStatisticTree& short_job_queue() { return short_job_queue_; }
+  const OrderStatisticTree& long_job_queue() const { return long_job_queue_; }
+  const OrderStatisticTree& short_job_queue() const { return short_job_queue_; }
 
  private:
   Sum& sum(PendingReason reason) { return sums_[static_cast<std::size_t>(reason)]; }
   /// Adds the time waited to the sum of its reason, and takes its tasks out.
   void remove_from_sum(Wait& wait, net::Time now);
 
-  bool on_;
+  bool enabled_;
   std::unordered_map<std::string, Wait> waits_;
   Sums sums_{};
-  OrderStatisticTree placement_;
-  OrderStatisticTree least_work_;
+  OrderStatisticTree long_job_queue_;
+  OrderStatisticTree short_job_queue_;
 };
 }  // namespace limemast::diagnostics
--- a/src/diagnostics/slo_attainment.cpp
+++ b/src/diagnostics/slo_attainment.cpp
@@ -20,40 +20,41 @@
 std::int64_t slot_at(net::WallTime time) { return time.time_since_epoch() / kSlotLength; }
 }  // namespace
 
-Share& Share::operator+=(const Share& other) {
-  asked += other.asked;
+WorkCounts& WorkCounts::operator+=(const WorkCounts& other) {
+  requested += other.requested;
   started += other.started;
   done += other.done;
-  in_time += other.in_time;
-  replica_s += other.replica_s;
-  up_s += other.up_s;
+  done_in_time += other.done_in_time;
+  replica_seconds_requested += other.replica_seconds_requested;
+  replica_seconds_running += other.replica_seconds_running;
   return *this;
 }
 
-Share& Share::operator-=(const Share& other) {
-  asked -= other.asked;
+WorkCounts& WorkCounts::operator-=(const WorkCounts& other) {
+  requested -= other.requested;
   started -= other.started;
   done -= other.done;
-  in_time -= other.in_time;
-  replica_s -= other.replica_s;
-  up_s -= other.up_s;
+  done_in_time -= other.done_in_time;
+  replica_seconds_requested -= other.replica_seconds_requested;
+  replica_seconds_running -= other.replica_seconds_running;
   return *this;
 }
 
-std::optional<double> Share::served() const {
+std::optional<double> WorkCounts::served_fraction() const {
   std::optional<double> out;
-  if (asked >= kMinTasks) out = done / asked;
-  if (replica_s >= kMinReplicaSeconds) out = std::min(out.value_or(1), up_s / replica_s);
+  if (requested >= kMinTasks) out = done / requested;
+  if (replica_seconds_requested >= kMinReplicaSeconds)
+    out = std::min(out.value_or(1), replica_seconds_running / replica_seconds_requested);
   return out;
 }
 
-void SloAttainment::add(const Work& work, Slot slot, const Share& change) {
+void SloAttainment::add(const Work& work, Slot slot, const WorkCounts& change) {
   classes_[work.workload].total += change;
   teams_[work.team].total += change;
   slots_[slot][{work.workload, work.team}] += change;
 }
 
-void SloAttainment::set_counted(TrackedJob& job, const Share& share, net::WallTime now) {
+void SloAttainment::set_counted(TrackedJob& job, const WorkCounts& share, net::WallTime now) {
   // The seconds of replicas belong to the time in which they passed; a task is counted once.
   if (!job.slot || job.work.service) job.slot = slot_at(now);
   auto change = share;
@@ -79,11 +80,11 @@
   auto& job = track(uid, work, now);
   if (work.service) return observe_service(job, work, running, now);
   if (now < work.due && done < work.tasks) return;
-  Share share;
-  share.asked = work.tasks;
+  WorkCounts share;
+  share.requested = work.tasks;
   share.started = started;
   share.done = done;
-  share.in_time = now <= work.due + kSlotLength ? done : job.counted.in_time;
+  share.done_in_time = now <= work.due + kSlotLength ? done : job.counted.done_in_time;
   set_counted(job, share, now);
 }
 
@@ -94,8 +95,8 @@
   if (now <= counted_until) return;
   const double seconds = net::to_seconds(now - counted_until).count();
   auto share = job.counted;
-  share.replica_s += seconds * work.tasks;
-  share.up_s += seconds * std::min(running, work.tasks);
+  share.replica_seconds_requested += seconds * work.tasks;
+  share.replica_seconds_running += seconds * std::min(running, work.tasks);
   set_counted(job, share, now);
 }
 
@@ -106,12 +107,12 @@
   if (!job.work.service) {
     auto share = job.counted;
     if (!cancelled) {
-      share.asked = share.started = share.done = job.work.tasks;
-      if (now <= job.work.due + kSlotLength) share.in_time = job.work.tasks;
+      share.requested = share.started = share.done = job.work.tasks;
+      if (now <= job.work.due + kSlotLength) share.done_in_time = job.work.tasks;
       set_counted(job, share, now);
     } else if (job.slot) {
       // What its user withdrew does not count as requested.
-      share.asked = share.done;
+      share.requested = share.done;
       share.started = std::min(share.started, share.done);
       set_counted(job, share, now);
     }
@@ -134,7 +135,7 @@
   std::set<std::string> out;
   bool others_are_well_served = false;
   for (const auto& [name, sums] : classes_) {
-    const auto served = sums.window.served();
+    const auto served = sums.window.served_fraction();
     if (!served) continue;
     if (*served < kUnderserved) out.insert(name);
     others_are_well_served = others_are_well_served || *served >= kWellServed;
--- a/src/diagnostics/slo_attainment.hpp
+++ b/src/diagnostics/slo_attainment.hpp
@@ -15,19 +15,19 @@
 /// the time by which they should be done, or were, if that is earlier: what has only just been
 /// requested is not unserved yet. Replicas count by the second, from the time by which they should
 /// have started.
-struct Share {
-  double asked = 0;      ///< tasks requested
-  double started = 0;    ///< of these, started
-  double done = 0;       ///< of these, completed
-  double in_time = 0;    ///< of these, completed by the time when they should be
-  double replica_s = 0;  ///< replica seconds requested
-  double up_s = 0;       ///< of these, running
+struct WorkCounts {
+  double requested = 0;                  ///< tasks requested
+  double started = 0;                    ///< of these, started
+  double done = 0;                       ///< of these, completed
+  double done_in_time = 0;               ///< of these, completed by the time when they should be
+  double replica_seconds_requested = 0;  ///< replica seconds requested
+  double replica_seconds_running = 0;    ///< of these, running
 
-  Share& operator+=(const Share& other);
-  Share& operator-=(const Share& other);
+  WorkCounts& operator+=(const WorkCounts& other);
+  WorkCounts& operator-=(const WorkCounts& other);
   /// The part that was served, between 0 and 1; the lower one if there are both kinds of work.
   /// nullopt while too little was requested to tell.
-  std::optional<double> served() const;
+  std::optional<double> served_fraction() const;
 };
 
 /// How far the objectives of each class and each team are attained, over a sliding window and in
@@ -52,8 +52,8 @@
   bool tracks(const std::string& uid) const { return jobs_.contains(uid); }
 
   struct Sums {
-    Share window;  ///< the last two minutes
-    Share total;   ///< since this was created
+    WorkCounts window;  ///< the last two minutes
+    WorkCounts total;   ///< since this was created
   };
   /// By class. The windows are as of the last call of `advance_window`.
   const std::map<std::string, Sums>& classes() const { return classes_; }
@@ -71,7 +71,7 @@
   struct TrackedJob {
     Work work;
     std::optional<Slot> slot;  ///< where it is counted; nullopt: not yet
-    Share counted;
+    WorkCounts counted;
     net::WallTime last_observed{};
   };
   struct ClassAndTeam {
@@ -82,12 +82,12 @@
   TrackedJob& track(const std::string& uid, const Work& work, net::WallTime now);
   void observe_service(TrackedJob& job, const Work& work, std::uint32_t running, net::WallTime now);
   /// Changes what is counted of the job to `share`, in its slot.
-  void set_counted(TrackedJob& job, const Share& share, net::WallTime now);
-  void add(const Work& work, Slot slot, const Share& change);
+  void set_counted(TrackedJob& job, const WorkCounts& share, net::WallTime now);
+  void add(const Work& work, Slot slot, const WorkCounts& change);
 
   std::unordered_map<std::string, TrackedJob> jobs_;
   std::map<std::string, Sums> classes_;
   std::map<std::string, Sums> teams_;
-  std::map<Slot, std::map<ClassAndTeam, Share>> slots_;  ///< the window
+  std::map<Slot, std::map<ClassAndTeam, WorkCounts>> slots_;  ///< the window
 };
 }  // namespace limemast::diagnostics
--- a/src/jobs/heartbeat_reconciler.cpp
+++ b/src/jobs/heartbeat_reconciler.cpp
@@ -121,8 +121,8 @@
 
 void HeartbeatReconciler::clear_image_wait(const Job& job) {
   const auto& spec = job.record.spec;
-  if (pending_reasons_.on() && registry_.running(spec.uid) + job.completed_tasks >= spec.tasks)
-    pending_reasons_.clear_if(spec.uid, diagnostics::PendingReason::Image, runtime_.now());
+  if (pending_reasons_.enabled() && registry_.running(spec.uid) + job.completed_tasks >= spec.tasks)
+    pending_reasons_.clear_if(spec.uid, diagnostics::PendingReason::FetchingImage, runtime_.now());
 }
 
 /// A task that cannot finish before the machine is preempted is stopped now. It saves its state if
--- a/src/jobs/job_submission.cpp
+++ b/src/jobs/job_submission.cpp
@@ -71,7 +71,7 @@
 }
 
 bool JobSubmission::is_known(const std::string& uid) const {
-  return job_owner_.status(uid) || status_reader_.ended(uid) || job_directory_.find(uid);
+  return job_owner_.status(uid) || status_reader_.has_ended(uid) || job_directory_.find(uid);
 }
 
 std::optional<net::Duration> JobSubmission::excessive_write_backlog() {
--- a/src/jobs/long_task_map_publisher.cpp
+++ b/src/jobs/long_task_map_publisher.cpp
@@ -121,7 +121,7 @@
   message.groups = {map.with_long_tasks, map.short_partition, map.reserved_for_services};
   message.cordoned = registry_.all_cordoned();
   message.underserved_classes = registry_.underserved_classes();
-  if (pending_reasons_.on())
+  if (pending_reasons_.enabled())
     message.provisioning = to_entries(registry_.provisioning(), runtime_.now());
   return message;
 }
--- a/src/jobs/long_task_scheduler.cpp
+++ b/src/jobs/long_task_scheduler.cpp
@@ -83,9 +83,9 @@
   const auto waiting = collect_waiting_jobs();
   preemption_.end_backoffs(now);
   if (waiting.empty()) return;
-  if (pending_reasons_.on()) record_queue_positions(waiting);
+  if (pending_reasons_.enabled()) record_queue_positions(waiting);
   place(waiting, now);
-  if (pending_reasons_.on()) record_outcome(waiting);
+  if (pending_reasons_.enabled()) record_outcome(waiting);
 }
 
 bool LongTaskScheduler::run_is_due(net::Time now) {
@@ -154,13 +154,13 @@
 
 void LongTaskScheduler::record_queue_positions(const std::vector<WaitingJob>& waiting) {
   for (const auto& entry : waiting)
-    pending_reasons_.placement().put(entry.order.uid, entry.order.queue_key());
+    pending_reasons_.long_job_queue().put(entry.order.uid, entry.order.queue_key());
 }
 
 void LongTaskScheduler::record_outcome(const std::vector<WaitingJob>& waiting) {
   for (const auto& [order, job] : waiting) {
     job_owner_.record_pending_reason(*job);
-    if (job->pending() == 0) pending_reasons_.placement().erase(job->record.spec.uid);
+    if (job->pending() == 0) pending_reasons_.long_job_queue().erase(job->record.spec.uid);
   }
 }
 
--- a/src/jobs/pending_reason_recorder.cpp
+++ b/src/jobs/pending_reason_recorder.cpp
@@ -19,16 +19,17 @@
 
 std::optional<PendingReason> PendingReasonRecorder::blocking_reason(const Job& job) const {
   const auto now = runtime_.now();
-  if (!membership_.may_act()) return PendingReason::StateAway;
+  if (!membership_.may_act()) return PendingReason::StoreUnavailable;
   if (!job.completions.loaded)
-    return membership_.store_available() ? PendingReason::Takeover : PendingReason::StateAway;
-  if (!failover_barrier_.passed(job)) return PendingReason::Takeover;
+    return membership_.store_available() ? PendingReason::FailoverBarrier
+                                         : PendingReason::StoreUnavailable;
+  if (!failover_barrier_.passed(job)) return PendingReason::FailoverBarrier;
   if (now < job.retry.retry_after || !may_start_another(job, now)) return PendingReason::BackingOff;
   return std::nullopt;
 }
 
 void PendingReasonRecorder::record(const Job& job) {
-  if (!pending_reasons_.on()) return;
+  if (!pending_reasons_.enabled()) return;
   if (!job.alive())
     pending_reasons_.clear(job.record.spec.uid, runtime_.now());
   else if (job.pending() == 0)
@@ -44,7 +45,7 @@
   if (started >= spec.tasks)
     pending_reasons_.clear(spec.uid, now);
   else
-    pending_reasons_.note(spec.uid, PendingReason::Image, spec.tasks - started, now);
+    pending_reasons_.record(spec.uid, PendingReason::FetchingImage, spec.tasks - started, now);
 }
 
 void PendingReasonRecorder::record_pending(const Job& job) {
@@ -55,17 +56,17 @@
     std::optional<net::Time> until;
     if (*blocked == PendingReason::BackingOff && now < job.retry.retry_after)
       until = job.retry.retry_after;
-    pending_reasons_.note(spec.uid, *blocked, pending, now, until);
+    pending_reasons_.record(spec.uid, *blocked, pending, now, until);
     return;
   }
   // A quota that refuses a team below its limit is granted more within a moment: no reason to show.
-  if (job.quota_refused_recently(now) && capacity_diagnosis_.at_limit(spec, now)) {
-    pending_reasons_.note(spec.uid, PendingReason::TeamLimit, pending, now);
+  if (job.quota_refused_recently(now) && capacity_diagnosis_.is_at_quota_limit(spec, now)) {
+    pending_reasons_.record(spec.uid, PendingReason::TeamLimit, pending, now);
     return;
   }
   const bool has_failed = !job.retry.failed_on.empty();
   const auto verdict =
-      capacity_diagnosis_.judge(spec, job.record.is_long, pending, job.zones, has_failed, now);
-  pending_reasons_.note(spec.uid, verdict.reason, pending, now, verdict.until);
+      capacity_diagnosis_.diagnose(spec, job.record.is_long, pending, job.zones, has_failed, now);
+  pending_reasons_.record(spec.uid, verdict.reason, pending, now, verdict.until);
 }
 }  // namespace limemast::jobs
--- a/src/jobs/pending_reason_recorder.hpp
+++ b/src/jobs/pending_reason_recorder.hpp
@@ -19,7 +19,7 @@
   /// Enters why the job's tasks are pending, after a scheduling decision has passed them over.
   void record(const Job& job);
   /// The table is in use.
-  bool enabled() const { return pending_reasons_.on(); }
+  bool enabled() const { return pending_reasons_.enabled(); }
 
  private:
   /// All tasks are assigned: those that do not run yet wait for their image.
--- a/src/jobs/slo_monitor.cpp
+++ b/src/jobs/slo_monitor.cpp
@@ -52,7 +52,7 @@
 void SloMonitor::observe_ended(const std::string& uid, const ActiveJob& job, net::WallTime now) {
   if (!slo_attainment_.tracks(uid)) return;
   // If it was not heard here how the job ended, what was left of it tells.
-  const auto phase = status_reader_.final_of(uid);
+  const auto phase = status_reader_.final_phase_of(uid);
   const bool left_undone = job.spec.service || job.unfinished.value_or(job.spec.tasks) > 0;
   const bool cancelled = phase ? *phase == Phase::Cancelled : left_undone;
   slo_attainment_.job_ended(uid, cancelled, now);
@@ -101,7 +101,7 @@
 void SloMonitor::warn_about_underserved() {
   const auto now = runtime_.now();
   for (const auto& [name, sums] : slo_attainment_.classes()) {
-    const auto served = sums.window.served();
+    const auto served = sums.window.served_fraction();
     if (!served) continue;
     if (*served >= kWarnBelow) {
       if (warned_at_.erase(name) > 0)
@@ -113,7 +113,7 @@
       spdlog::warn(
           "class {} is behind: {:.2f} of what was asked of late is served, {:.2f} since the start; "
           "most of it waits for: {}, epoch {}",
-          name, *served, sums.total.served().value_or(1), main_pending_reason(name),
+          name, *served, sums.total.served_fraction().value_or(1), main_pending_reason(name),
           membership_.epoch().number);
   }
 }
@@ -125,7 +125,7 @@
   if (const auto* wait = pending_reasons_.find(uid)) return wait->reason;
   const auto zones = own ? own->zones : std::map<std::string, std::uint32_t>();
   return capacity_diagnosis_
-      .judge(active.spec, active.is_long, pending, zones, false, runtime_.now())
+      .diagnose(active.spec, active.is_long, pending, zones, false, runtime_.now())
       .reason;
 }
 
--- a/src/jobs/status_reader.cpp
+++ b/src/jobs/status_reader.cpp
@@ -75,7 +75,7 @@
   // written: only the store can tell.
   if (!status || status->deciding) return std::nullopt;
   const bool final = is_final(status->phase);
-  if (final) remember(uid, *status);
+  if (final) cache_final_status(uid, *status);
   // Unless the lease is certain somebody else may own the job by now: then only what can never
   // change may be told from memory.
   return final || membership_.lease_certain() ? status : std::nullopt;
@@ -159,7 +159,7 @@
   status.phase = static_cast<Phase>(entry->phase);
   status.done = entry->completed_tasks;
   status.running = entry->running_tasks;
-  if (is_final(status.phase)) remember(query.uid, status);
+  if (is_final(status.phase)) cache_final_status(query.uid, status);
   query.done(LookupOutcome::Found, status);
   return true;
 }
@@ -239,7 +239,7 @@
   // interrupted.
   if (const auto* job = job_directory_.find(uid); job && !job->ended)
     completion_broadcast_.announce(uid, status);
-  remember(uid, status);
+  cache_final_status(uid, status);
   done(LookupOutcome::Found, status);
 }
 }  // namespace limemast::jobs
--- a/src/jobs/status_reader.hpp
+++ b/src/jobs/status_reader.hpp
@@ -33,12 +33,14 @@
                JobOwner& job_owner, CompletionBroadcast& completion_broadcast);
 
   /// The job's final record stands in the store: later look-ups are answered from memory.
-  void remember(const std::string& uid, const Status& status) { final_statuses_.put(uid, status); }
+  void cache_final_status(const std::string& uid, const Status& status) {
+    final_statuses_.put(uid, status);
+  }
   void look_up(const std::string& uid, LookupCallback done);
   /// The job's final status is known here.
-  bool ended(const std::string& uid) const { return final_statuses_.find(uid) != nullptr; }
+  bool has_ended(const std::string& uid) const { return final_statuses_.find(uid) != nullptr; }
   /// How the job ended, if that was heard here lately.
-  std::optional<Phase> final_of(const std::string& uid) const {
+  std::optional<Phase> final_phase_of(const std::string& uid) const {
     const auto* status = final_statuses_.find(uid);
     return status ? std::optional(status->phase) : std::nullopt;
   }
--- a/src/machines/peer_loads.cpp
+++ b/src/machines/peer_loads.cpp
@@ -42,11 +42,11 @@
   for (const auto& [controller, report] : reports_)
     if (is_recent(report) && report.store_available && !context_.registry.suspected(controller))
       loads[controller] = report.load;
-  load_rebalancer_.look(self, loads, attached_machines);
+  load_rebalancer_.update(self, loads, attached_machines);
 }
 
 std::optional<cluster::ControllerId> PeerLoads::take_redirect() {
-  const auto target = load_rebalancer_.next();
+  const auto target = load_rebalancer_.next_target();
   if (!context_.membership.is_member(target)) return std::nullopt;
   ++redirected_;
   return target;
--- a/src/machines/peer_loads.hpp
+++ b/src/machines/peer_loads.hpp
@@ -23,7 +23,7 @@
   void plan_redirects(std::size_t attached_machines, double own_load);
 
   /// Whether machines may be redirected until the next plan.
-  bool may_redirect() const { return load_rebalancer_.allowance() > 0; }
+  bool may_redirect() const { return load_rebalancer_.remaining_moves() > 0; }
   /// The controller that the next machine is to be redirected to; nullopt if it is to stay. Uses up
   /// one of the redirects that are planned.
   std::optional<cluster::ControllerId> take_redirect();
--- a/src/operator_api/metrics.cpp
+++ b/src/operator_api/metrics.cpp
@@ -104,15 +104,16 @@
   set("unreadable", static_cast<double>(g.decode_errors));
   if (g.served) {
     auto tell = [&](const char* of, const std::string& name, const char* since,
-                    const diagnostics::Share& s) {
+                    const diagnostics::WorkCounts& s) {
       auto put = [&](const char* what, double value) {
         impl_->served.Add({{"of", of}, {"name", name}, {"since", since}, {"what", what}})
             .Set(value);
       };
-      put("tasks_asked", s.asked), put("tasks_started", s.started), put("tasks_done", s.done),
-          put("tasks_in_time", s.in_time);
-      put("replica_seconds_asked", s.replica_s), put("replica_seconds_up", s.up_s);
-      put("share", s.served().value_or(1));
+      put("tasks_asked", s.requested), put("tasks_started", s.started), put("tasks_done", s.done),
+          put("tasks_in_time", s.done_in_time);
+      put("replica_seconds_asked", s.replica_seconds_requested),
+          put("replica_seconds_up", s.replica_seconds_running);
+      put("share", s.served_fraction().value_or(1));
     };
     for (const auto& [of, all] :
          {std::pair("class", &g.served->classes()), std::pair("team", &g.served->teams())})
--- a/src/operator_api/operator_api.cpp
+++ b/src/operator_api/operator_api.cpp
@@ -100,8 +100,8 @@
 void OperatorApi::on_job_ended(const std::string& uid) {
   open_.erase(uid);
   pending_reasons_.clear(uid, runtime_.now());
-  pending_reasons_.placement().erase(uid);
-  pending_reasons_.least_work().erase(uid);
+  pending_reasons_.long_job_queue().erase(uid);
+  pending_reasons_.short_job_queue().erase(uid);
 }
 
 /// How late the loop's timers are tells whether workers and users wait.
--- a/src/operator_api/views.cpp
+++ b/src/operator_api/views.cpp
@@ -69,8 +69,8 @@
     if (wait->until) out["expectedInS"] = std::max(0.0, seconds(*wait->until - now));
   }
   const auto& line =
-      job.record.is_long ? pending_reasons_.placement() : pending_reasons_.least_work();
-  if (const auto place = line.place(uid); place && job.pending() > 0) {
+      job.record.is_long ? pending_reasons_.long_job_queue() : pending_reasons_.short_job_queue();
+  if (const auto place = line.position(uid); place && job.pending() > 0) {
     out["place"] = *place;
     out["of"] = line.size();
     out["line"] = job.record.is_long ? "placement" : "least_work";
@@ -103,8 +103,8 @@
   const auto left = open->pending_tasks.value_or(s.tasks - std::min(s.tasks, running));
   out.update({{"waiting", left}, {"running", running}, {"starting", nullptr}, {"done", nullptr}});
   if (left > 0)
-    out["cause"] = diagnostics::name_of(silent ? diagnostics::PendingReason::OwnerSilent
-                                               : diagnostics::PendingReason::Takeover);
+    out["cause"] = diagnostics::name_of(silent ? diagnostics::PendingReason::OwnerUnresponsive
+                                               : diagnostics::PendingReason::FailoverBarrier);
   return out;
 }
 
@@ -206,7 +206,7 @@
 }
 
 void OperatorApi::teams(net::Responder respond) {
-  const auto& used = capacity_diagnosis_.used(runtime_.now());
+  const auto& used = capacity_diagnosis_.team_usage(runtime_.now());
   std::vector<json> entries;
   for (const auto& [name, team] : settings_.teams) {
     const auto it = used.find(name);
--- a/src/overload/admission_filter.cpp
+++ b/src/overload/admission_filter.cpp
@@ -49,7 +49,7 @@
   rejected_ = 0;
 }
 
-std::optional<net::HttpResponse> AdmissionFilter::refusal(RequestClass request_class) {
+std::optional<net::HttpResponse> AdmissionFilter::rejection(RequestClass request_class) {
   const double random = std::uniform_real_distribution<>(0, 1)(runtime_.random());
   if (admission_controller_.admits(request_class, random)) return std::nullopt;
   ++rejected_;
--- a/src/overload/admission_filter.hpp
+++ b/src/overload/admission_filter.hpp
@@ -18,7 +18,7 @@
   void start();
   /// The response to a request that is rejected: 503 with the time to retry. nullopt if the request
   /// is admitted.
-  std::optional<net::HttpResponse> refusal(RequestClass request_class);
+  std::optional<net::HttpResponse> rejection(RequestClass request_class);
   const AdmissionController& admission_controller() const { return admission_controller_; }
   net::Duration lag() const { return lag_.lag(); }
 
--- a/src/overload/load_rebalancer.cpp
+++ b/src/overload/load_rebalancer.cpp
@@ -26,10 +26,10 @@
 }
 }  // namespace
 
-void LoadRebalancer::look(const cluster::ControllerId& self,
-                          const std::map<cluster::ControllerId, double>& loads,
-                          std::size_t machines_here) {
-  allowance_ = 0;
+void LoadRebalancer::update(const cluster::ControllerId& self,
+                            const std::map<cluster::ControllerId, double>& loads,
+                            std::size_t machines_here) {
+  remaining_moves_ = 0;
   smooth(loads);
   const auto own = smoothed_loads_.find(self);
   if (own == smoothed_loads_.end() || smoothed_loads_.size() < 2) return stop();
@@ -41,7 +41,7 @@
   target_ = least->first;
   const auto machines_to_move =
       std::ceil(kMovedSharePerSecond * static_cast<double>(machines_here));
-  allowance_ = std::min(kMaxMovedPerSecond, static_cast<std::size_t>(machines_to_move));
+  remaining_moves_ = std::min(kMaxMovedPerSecond, static_cast<std::size_t>(machines_to_move));
 }
 
 void LoadRebalancer::smooth(const std::map<cluster::ControllerId, double>& loads) {
@@ -67,9 +67,9 @@
   return imbalanced_updates_ >= kUpdatesBeforeMove;
 }
 
-cluster::ControllerId LoadRebalancer::next() {
-  if (allowance_ == 0) return {};
-  --allowance_;
+cluster::ControllerId LoadRebalancer::next_target() {
+  if (remaining_moves_ == 0) return {};
+  --remaining_moves_;
   return target_;
 }
 }  // namespace limemast::overload
--- a/src/overload/load_rebalancer.hpp
+++ b/src/overload/load_rebalancer.hpp
@@ -13,12 +13,12 @@
  public:
   /// To be called once a second, with the load of every controller (0 to 1), this one's under
   /// `self`, and the number of machines attached here. Sets the allowance until the next call.
-  void look(const cluster::ControllerId& self, const std::map<cluster::ControllerId, double>& loads,
-            std::size_t machines_here);
+  void update(const cluster::ControllerId& self,
+              const std::map<cluster::ControllerId, double>& loads, std::size_t machines_here);
   /// Where the next machine is to be moved; empty: it stays. Uses up one of the allowance.
-  cluster::ControllerId next();
-  /// Machines that may still be moved until the next call of `look`.
-  std::size_t allowance() const { return allowance_; }
+  cluster::ControllerId next_target();
+  /// Machines that may still be moved until the next call of `update`.
+  std::size_t remaining_moves() const { return remaining_moves_; }
 
  private:
   void smooth(const std::map<cluster::ControllerId, double>& loads);
@@ -30,6 +30,6 @@
   cluster::ControllerId target_;
   unsigned imbalanced_updates_ = 0;  ///< in a row
   bool moving_ = false;
-  std::size_t allowance_ = 0;
+  std::size_t remaining_moves_ = 0;
 };
 }  // namespace limemast::overload
--- a/src/tools/tables.cpp
+++ b/src/tools/tables.cpp
@@ -183,7 +183,7 @@
     };
     auto& sum = sums[cause];
     ++sum.first;
-    sum.second += cause == diagnostics::name_of(diagnostics::PendingReason::Image)
+    sum.second += cause == diagnostics::name_of(diagnostics::PendingReason::FetchingImage)
                       ? count("starting")
                       : count("waiting");
   }
--- a/tests/bench/diagnostics_bench.cpp
+++ b/tests/bench/diagnostics_bench.cpp
@@ -21,19 +21,22 @@
   std::vector<std::string> uids;
   for (std::size_t i = 0; i < n; ++i) {
     uids.push_back(uid_of(i));
-    pending_reasons.note(uids.back(), diagnostics::PendingReason::Resources, 10,
-                         SimulatedWorld::start());
-    pending_reasons.placement().put(uids.back(), {static_cast<std::int64_t>(i), 0, 0, 0, 0, 0});
+    pending_reasons.record(uids.back(), diagnostics::PendingReason::Resources, 10,
+                           SimulatedWorld::start());
+    pending_reasons.long_job_queue().put(uids.back(),
+                                         {static_cast<std::int64_t>(i), 0, 0, 0, 0, 0});
   }
   std::mt19937_64 random(1);
   std::int64_t step = 0;
   for (auto _ : state) {
     const auto& uid = uids[random() % n];
-    pending_reasons.note(
-        uid, ++step % 2 ? diagnostics::PendingReason::Drain : diagnostics::PendingReason::Resources,
+    pending_reasons.record(
+        uid,
+        ++step % 2 ? diagnostics::PendingReason::Draining : diagnostics::PendingReason::Resources,
         10, SimulatedWorld::start() + std::chrono::milliseconds(step));
-    pending_reasons.placement().put(uid, {static_cast<std::int64_t>(random() % n), 0, 0, 0, 0, 0});
-    benchmark::DoNotOptimize(pending_reasons.placement().place(uid));
+    pending_reasons.long_job_queue().put(uid,
+                                         {static_cast<std::int64_t>(random() % n), 0, 0, 0, 0, 0});
+    benchmark::DoNotOptimize(pending_reasons.long_job_queue().position(uid));
   }
   state.SetComplexityN(state.range(0));
 }
--- a/tests/diagnostics/order_statistic_tree_test.cpp
+++ b/tests/diagnostics/order_statistic_tree_test.cpp
@@ -31,14 +31,15 @@
     sorted.reserve(expected.size());
     for (const auto& [job, key] : expected) sorted.emplace_back(key, job);
     std::sort(sorted.begin(), sorted.end());
-    for (std::size_t i = 0; i < sorted.size(); ++i) ASSERT_EQ(queue.place(sorted[i].second), i + 1);
+    for (std::size_t i = 0; i < sorted.size(); ++i)
+      ASSERT_EQ(queue.position(sorted[i].second), i + 1);
   }
 }
 
 TEST(OrderStatisticTree, AJobThatIsNotQueuedHasNoPosition) {
   OrderStatisticTree queue;
   queue.put("wk-000001", QueueKey{});
-  EXPECT_EQ(queue.place("wk-000002"), std::nullopt);
+  EXPECT_EQ(queue.position("wk-000002"), std::nullopt);
 }
 }  // namespace
 }  // namespace limemast::diagnostics
--- a/tests/diagnostics/pending_reason_table_test.cpp
+++ b/tests/diagnostics/pending_reason_table_test.cpp
@@ -52,7 +52,7 @@
     } else {
       const auto reason = kAllPendingReasons.at(random() % kPendingReasons);
       const auto tasks = static_cast<std::uint32_t>(random() % 9);
-      table.note(uid, reason, tasks, now);
+      table.record(uid, reason, tasks, now);
       expected.by_job[uid] = {reason, tasks};
     }
     const auto sums = expected.sums();
@@ -68,25 +68,25 @@
 
 TEST(PendingReasonTable, AReasonKeepsItsBeginningWhileTheNumberOfTasksChanges) {
   PendingReasonTable table(true);
-  table.note(kJob, PendingReason::Resources, 5, net::Time(10s));
-  table.note(kJob, PendingReason::Resources, 3, net::Time(20s));
+  table.record(kJob, PendingReason::Resources, 5, net::Time(10s));
+  table.record(kJob, PendingReason::Resources, 3, net::Time(20s));
   EXPECT_EQ(table.find(kJob)->since, net::Time(10s));
-  table.note(kJob, PendingReason::Drain, 3, net::Time(30s));
+  table.record(kJob, PendingReason::Draining, 3, net::Time(30s));
   EXPECT_EQ(table.find(kJob)->since, net::Time(30s));
 }
 
 TEST(PendingReasonTable, ClearIfLeavesAJobThatWaitsForAnotherReason) {
   PendingReasonTable table(true);
-  table.note(kJob, PendingReason::Drain, 3, net::Time(30s));
+  table.record(kJob, PendingReason::Draining, 3, net::Time(30s));
   table.clear_if(kJob, PendingReason::Resources, net::Time(31s));
   ASSERT_NE(table.find(kJob), nullptr);
-  table.clear_if(kJob, PendingReason::Drain, net::Time(32s));
+  table.clear_if(kJob, PendingReason::Draining, net::Time(32s));
   EXPECT_EQ(table.find(kJob), nullptr);
 }
 
 TEST(PendingReasonTable, KeepsNothingIfSwitchedOff) {
   PendingReasonTable table(false);
-  table.note(kJob, PendingReason::Resources, 5, net::Time(10s));
+  table.record(kJob, PendingReason::Resources, 5, net::Time(10s));
   EXPECT_EQ(table.size(), 0U);
 }
 }  // namespace
--- a/tests/load/submission_flood_test.cpp
+++ b/tests/load/submission_flood_test.cpp
@@ -76,7 +76,8 @@
   EXPECT_LT(unfinished_arrays(), arrays_.size() / 2);
   const auto& attainment = cluster_.node(cluster_.leader())->slo_attainment();
   for (const auto* sums : {&attainment.classes(), &attainment.teams()})
-    for (const auto& [name, sum] : *sums) EXPECT_GT(sum.window.served().value_or(1), 0.5) << name;
+    for (const auto& [name, sum] : *sums)
+      EXPECT_GT(sum.window.served_fraction().value_or(1), 0.5) << name;
 }
 }  // namespace
 }  // namespace limemast
--- a/tests/overload/load_rebalancer_test.cpp
+++ b/tests/overload/load_rebalancer_test.cpp
@@ -46,8 +46,8 @@
     }
     for (std::size_t i = 0; i < kControllers; ++i) {
       auto& rebalancer = rebalancers.at(i);
-      rebalancer.look(ids.at(i), loads, deployment.machines.at(i));
-      for (auto to = rebalancer.next(); !to.empty(); to = rebalancer.next()) {
+      rebalancer.update(ids.at(i), loads, deployment.machines.at(i));
+      for (auto to = rebalancer.next_target(); !to.empty(); to = rebalancer.next_target()) {
         const auto target =
             static_cast<std::size_t>(std::find(ids.begin(), ids.end(), to) - ids.begin());
         ASSERT_NE(i, target);
--- a/tests/restart/alone_test.cpp
+++ b/tests/restart/alone_test.cpp
@@ -159,30 +159,30 @@
   see("b", "arrays", 100, t + 61s);
   see("c", "other", 100, t + 61s);
   attainment.advance_window(t + 61s);
-  EXPECT_DOUBLE_EQ(*attainment.classes().at("arrays").window.served(), 0.6);
+  EXPECT_DOUBLE_EQ(*attainment.classes().at("arrays").window.served_fraction(), 0.6);
   EXPECT_TRUE(attainment.underserved_classes().empty());
   see("d", "arrays", 0, t + 70s);
   see("e", "arrays", 0, t + 70s);
   attainment.advance_window(t + 70s);
-  EXPECT_DOUBLE_EQ(*attainment.classes().at("arrays").window.served(), 0.3);
+  EXPECT_DOUBLE_EQ(*attainment.classes().at("arrays").window.served_fraction(), 0.3);
   EXPECT_EQ(attainment.underserved_classes(), std::set<std::string>{"arrays"});
   attainment.job_ended("d", true, t + 71s);  // taken back
   attainment.job_ended("e", true, t + 71s);
   see("a", "arrays", 100, t + 100s);  // late
   attainment.advance_window(t + 100s);
-  EXPECT_DOUBLE_EQ(*attainment.classes().at("arrays").window.served(), 1);
-  EXPECT_DOUBLE_EQ(attainment.classes().at("arrays").total.in_time, 120);
-  EXPECT_DOUBLE_EQ(attainment.teams().at("red").total.asked, 300);
+  EXPECT_DOUBLE_EQ(*attainment.classes().at("arrays").window.served_fraction(), 1);
+  EXPECT_DOUBLE_EQ(attainment.classes().at("arrays").total.done_in_time, 120);
+  EXPECT_DOUBLE_EQ(attainment.teams().at("red").total.requested, 300);
   // Replica time from the time by which they should be up.
   see("s", "service", 0, t + 60s, true, 0);
   see("s", "service", 0, t + 80s, true, 25);
   see("s", "service", 0, t + 100s, true, 75);
   attainment.advance_window(t + 100s);
-  EXPECT_DOUBLE_EQ(*attainment.classes().at("service").window.served(), 0.5);
+  EXPECT_DOUBLE_EQ(*attainment.classes().at("service").window.served_fraction(), 0.5);
   attainment.job_ended("s", true, t + 101s);
   attainment.advance_window(t + 400s);
-  EXPECT_FALSE(attainment.classes().at("service").window.served());
-  EXPECT_DOUBLE_EQ(*attainment.classes().at("service").total.served(), 0.5);
+  EXPECT_FALSE(attainment.classes().at("service").window.served_fraction());
+  EXPECT_DOUBLE_EQ(*attainment.classes().at("service").total.served_fraction(), 0.5);
   EXPECT_FALSE(attainment.tracks("s"));
 }
 }  // namespace
--- a/tests/simulation/simulation_test.cpp
+++ b/tests/simulation/simulation_test.cpp
@@ -54,8 +54,8 @@
   const auto& attainment = cluster.node(cluster.leader())->slo_attainment();
   for (const auto* sums : {&attainment.classes(), &attainment.teams()})
     for (const auto& [name, s] : *sums) {
-      EXPECT_GT(s.window.served().value_or(1), 0.5) << name << ", seed " << GetParam();
-      EXPECT_GE(s.total.done, s.total.asked / 2) << name << ", seed " << GetParam();
+      EXPECT_GT(s.window.served_fraction().value_or(1), 0.5) << name << ", seed " << GetParam();
+      EXPECT_GE(s.total.done, s.total.requested / 2) << name << ", seed " << GetParam();
     }
   const auto left = cluster.unfinished();
   EXPECT_TRUE(left.empty()) << left.size() << " left, first " << left.front()
