--- a/src/jobs/completion_broadcast.hpp
+++ b/src/jobs/completion_broadcast.hpp
@@ -1,29 +1,31 @@
 #pragma once
-// Final states of jobs, spread among the controllers.
+// Announces the final statuses of jobs to all controllers.
 #include "cluster/message_bus.hpp"
 #include "jobs/job.hpp"
 #include "messages/jobs.hpp"
 
 namespace limemast::jobs {
-/// Tells all members of final states. A final state that the state service has stored never
-/// changes, so it is true whoever sends it, and each receiver acts at once: a controller that the
-/// state service refuses gets no watch events, yet keeps its workers' tasks alive (test:
+/// Sends each final status to all members. A stored final status never changes, so every receiver
+/// acts on it at once, whichever member sent it. A controller whose requests the store rejects
+/// receives no watch events but still keeps its workers' tasks running (test:
 /// CancelDuringStoreOutage.RejectedLeaderIsToldOfCompletions).
 ///
-/// A final state is sent again until each member has acknowledged it or is no member any more. That
-/// is for speed: where no message arrives, what is left of a cancelled job is limited by the time
-/// for which a controller may act without renewing its lease (Membership::may_act; test:
+/// A final status is resent until each member has acknowledged it or has left the cluster. Delivery
+/// is an optimization: if no message arrives, the tasks of a cancelled job still stop within the
+/// time for which a controller may act without renewing its lease (Membership::may_act; test:
 /// CancelDuringStoreOutage.LeaseExpiryAloneIsEnough).
 class CompletionBroadcast {
  public:
-  /// Called for each final state, whether it was announced here or received.
-  using Learned = std::function<void(const std::string& uid, const Status& final_status)>;
+  /// Called for each final status that is announced here or received from another member.
+  using FinalStatusCallback =
+      std::function<void(const std::string& uid, const Status& final_status)>;
   CompletionBroadcast(net::Runtime& runtime, const wire::Settings& settings,
                       const cluster::Membership& membership, cluster::MessageBus& message_bus,
-                      Learned learned);
-  /// The final record was stored by us, or read. Known here from now on, and soon everywhere.
+                      FinalStatusCallback on_final_status);
+  /// Sends a final status, which must be stored already, to all members and calls the local
+  /// callback.
   void announce(const std::string& uid, const Status& final_status);
-  /// Sends again what is not acknowledged. Once a second.
+  /// Resends unacknowledged announcements. To be called once a second.
   void tick();
 
  private:
@@ -31,16 +33,16 @@
     std::string uid;
     Status final_status;
     std::set<ControllerId> unacknowledged;
-    net::Time since{};
+    net::Time first_sent{};
   };
-  void on_ended(const ControllerId& from, const messages::JobEnded& message);
+  void on_job_ended(const ControllerId& from, const messages::JobEnded& message);
   void on_acknowledged(const ControllerId& from, const messages::JobEndedAck& message);
   void send(const ControllerId& to, const Announcement& announcement);
   net::Runtime& runtime_;
   const wire::Settings& settings_;
   const cluster::Membership& membership_;
   cluster::MessageBus& message_bus_;
-  Learned learned_;
+  FinalStatusCallback on_final_status_;
   std::deque<Announcement> announcements_;  ///< oldest first
 };
 }  // namespace limemast::jobs
--- a/src/jobs/completion_codec.cpp
+++ b/src/jobs/completion_codec.cpp
@@ -8,17 +8,17 @@
 
 constexpr const char* kPageLimit = "100";
 
-// Fields of the service's answer to a listing.
+// Fields of the store's listing response.
 constexpr const char* kEntriesField = "entries";
 constexpr const char* kTruncatedField = "truncated";
 constexpr const char* kKeyField = "key";
 constexpr const char* kValueField = "v";
 constexpr const char* kModRevisionField = "stamp";
 
-// Places in the array that stands for one chunk.
-constexpr std::size_t kUidPlace = 0;
-constexpr std::size_t kChunkPlace = 1;
-constexpr std::size_t kHexPlace = 2;
+// Element indices of the JSON array that encodes one chunk.
+constexpr std::size_t kUidIndex = 0;
+constexpr std::size_t kChunkIndex = 1;
+constexpr std::size_t kHexIndex = 2;
 }  // namespace
 
 const char* const kEmptyCompletionRecord = "[]";
@@ -27,7 +27,7 @@
                                                    std::size_t max_bytes) {
   std::vector<std::string> records(1, "[");
   for (const auto& chunk : chunks) {
-    const auto text = json{chunk.uid, chunk.chunk, chunk.hex}.dump();
+    const auto text = json{chunk.uid, chunk.index, chunk.hex}.dump();
     const bool has_chunks = records.back().size() > 1;
     if (has_chunks && records.back().size() + text.size() > max_bytes) records.emplace_back("[");
     if (records.back().size() > 1) records.back() += ",";
@@ -41,18 +41,18 @@
   DecodedCompletionRecord decoded;
   try {
     for (const auto& chunk : record)
-      decoded.chunks.push_back({chunk.at(kUidPlace).get<std::string>(),
-                                chunk.at(kChunkPlace).get<std::uint32_t>(),
-                                chunk.at(kHexPlace).get<std::string>()});
+      decoded.chunks.push_back({chunk.at(kUidIndex).get<std::string>(),
+                                chunk.at(kChunkIndex).get<std::uint32_t>(),
+                                chunk.at(kHexIndex).get<std::string>()});
   } catch (const json::exception&) {
     decoded.complete = false;
   }
   return decoded;
 }
 
-std::string list_path(const std::string& prefix, const std::string& from) {
+std::string list_path(const std::string& prefix, const std::string& after_key) {
   auto path = "/keys?prefix=" + prefix + "&limit=" + kPageLimit;
-  if (!from.empty()) path += "&from=" + from;
+  if (!after_key.empty()) path += "&from=" + after_key;
   return path;
 }
 
@@ -67,7 +67,7 @@
     page.records.push_back({last_key, entry[kValueField],
                             store::Revision(entry.value(kModRevisionField, std::uint64_t{0}))});
   }
-  if (answer.value(kTruncatedField, false) && !last_key.empty()) page.next_from = last_key;
+  if (answer.value(kTruncatedField, false) && !last_key.empty()) page.continue_after = last_key;
   return page;
 }
 }  // namespace limemast::jobs
--- a/src/jobs/completion_codec.hpp
+++ b/src/jobs/completion_codec.hpp
@@ -1,6 +1,5 @@
 #pragma once
-// How completed tasks are spelled in the state service: records of bitmap chunks, and the pages in
-// which the service lists them.
+// Encodes and decodes the stored records of completed tasks and the store's listing pages.
 #include <optional>
 #include <string>
 #include <vector>
@@ -9,33 +8,35 @@
 #include "store/client.hpp"
 
 namespace limemast::jobs {
-/// The texts of the records that hold these chunks, in order; each is a JSON array of at most
-/// `max_bytes`, unless a single chunk is larger. One empty record if there are no chunks.
+/// Encodes the chunks, in order, as records. Each record is a JSON array of at most `max_bytes`,
+/// unless a single chunk is larger. Returns one empty record if there are no chunks.
 std::vector<std::string> encode_completion_records(const std::vector<BitmapChunk>& chunks,
                                                    std::size_t max_bytes);
-/// The text of a record without chunks.
+/// The encoding of a record without chunks.
 extern const char* const kEmptyCompletionRecord;
 
-/// The chunks of a record. One that cannot be read ends it: `complete` is false then.
+/// The chunks of a record, up to the first one that cannot be decoded.
 struct DecodedCompletionRecord {
   std::vector<BitmapChunk> chunks;
-  bool complete = true;
+  bool complete = true;  ///< false: a chunk could not be decoded
 };
 DecodedCompletionRecord decode_completion_record(const wire::json& record);
 
-/// A record as the service lists it.
+/// A record in a listing of the store.
 struct ListedRecord {
   std::string key;
   wire::json value;
   store::Revision mod_revision{};
 };
-/// One answer of the service to a listing.
+/// One page of a listing of the store.
 struct ListedPage {
   std::vector<ListedRecord> records;
-  std::optional<std::string> next_from;  ///< there are further records, after this key
+  std::optional<std::string> continue_after;  ///< more records follow this key; nullopt: last page
 };
-/// The path that lists the records under `prefix` which follow the key `from`; all if that is "".
-std::string list_path(const std::string& prefix, const std::string& from);
-/// The records under `prefix` of an answer; nullopt if its body is not one.
+/// The request path that lists the records under `prefix` after the key `after_key`; all records if
+/// `after_key` is empty.
+std::string list_path(const std::string& prefix, const std::string& after_key);
+/// Decodes a response body and keeps the records under `prefix`; nullopt if the body is not a
+/// listing.
 std::optional<ListedPage> decode_list_page(const std::string& body, const std::string& prefix);
 }  // namespace limemast::jobs
--- a/src/jobs/completion_log.cpp
+++ b/src/jobs/completion_log.cpp
@@ -9,16 +9,16 @@
 using namespace std::chrono_literals;
 using wire::json;
 
-/// Part of the service's value size that a record may take.
-constexpr double kRecordFill = 0.75;
+/// The fraction of the store's maximum value size that a record may occupy.
+constexpr double kMaxRecordFraction = 0.75;
 constexpr std::size_t kMaxOwnRecords = 1000;
-/// Records of one transaction together.
+/// The maximum total size of the records in one transaction.
 constexpr std::size_t kMaxTransactionBytes = 48UL * 1024;
 constexpr int kHttpOk = 200;
 constexpr auto kListTimeout = 5s;
-constexpr auto kReadRetry = 400ms;
+constexpr auto kReadRetryDelay = 400ms;
 
-/// The number of our record with this key; nullopt for a key that we would not write.
+/// The record number in a key of this owner; nullopt if this controller would not write such a key.
 std::optional<std::size_t> record_number(const std::string& key, const std::string& prefix) {
   std::size_t number = 0;
   const auto* key_end = key.data() + key.size();
@@ -43,7 +43,7 @@
 }
 
 void CompletionLog::write(const std::vector<BitmapChunk>& chunks, std::function<void(bool)> done) {
-  const auto max_bytes = static_cast<std::size_t>(settings_.value_kb * 1024 * kRecordFill);
+  const auto max_bytes = static_cast<std::size_t>(settings_.value_kb * 1024 * kMaxRecordFraction);
   const auto records = encode_completion_records(chunks, max_bytes);
   if (outcome_unknown_) {
     reread_own_records([done = std::move(done)] { done(false); });
@@ -67,10 +67,10 @@
     const std::vector<std::string>& records) const {
   RecordUpdate update;
   std::size_t bytes = 0;
-  update.result = stored_;
-  update.result.resize(std::max(update.result.size(), records.size()));
-  for (std::size_t n = 0; n < update.result.size(); ++n) {
-    auto& record = update.result[n];
+  update.resulting_records = stored_;
+  update.resulting_records.resize(std::max(update.resulting_records.size(), records.size()));
+  for (std::size_t n = 0; n < update.resulting_records.size(); ++n) {
+    auto& record = update.resulting_records[n];
     const std::string text = n < records.size() ? records[n] : kEmptyCompletionRecord;
     if (record.text == text) continue;
     if (update.writes.size() >= settings_.txn_ops || bytes + text.size() > kMaxTransactionBytes) {
@@ -91,12 +91,12 @@
   busy_ = false;
   const bool ok = txn.status == store::TxnStatus::Ok;
   if (ok) {
-    for (std::size_t n = 0; n < update.result.size(); ++n)
-      if (n >= stored_.size() || update.result[n].text != stored_[n].text)
-        update.result[n].mod_revision = txn.revision;
-    stored_ = std::move(update.result);
+    for (std::size_t n = 0; n < update.resulting_records.size(); ++n)
+      if (n >= stored_.size() || update.resulting_records[n].text != stored_[n].text)
+        update.resulting_records[n].mod_revision = txn.revision;
+    stored_ = std::move(update.resulting_records);
   }
-  // A conflict may be one with a write of our own that was carried out late.
+  // A conflict may be caused by an earlier write of this owner that was applied late.
   outcome_unknown_ =
       txn.status == store::TxnStatus::Unknown || txn.status == store::TxnStatus::Conflict;
   done(ok && update.complete);
@@ -131,17 +131,19 @@
 }
 
 void CompletionLog::list_page(store::Priority priority, const std::string& prefix,
-                              const std::string& from, std::vector<ListedRecord> so_far,
+                              const std::string& after_key,
+                              std::vector<ListedRecord> records_so_far,
                               std::function<void(Records)> done) {
-  client_.call(priority, {"GET", list_path(prefix, from), {}}, kListTimeout,
-               [this, priority, prefix, records = std::move(so_far),
+  client_.call(priority, {"GET", list_path(prefix, after_key), {}}, kListTimeout,
+               [this, priority, prefix, records = std::move(records_so_far),
                 done = std::move(done)](const net::HttpResult& response) mutable {
                  std::optional<ListedPage> page;
                  if (response.status == kHttpOk) page = decode_list_page(response.body, prefix);
                  if (!page) return done(std::nullopt);
                  std::move(page->records.begin(), page->records.end(), std::back_inserter(records));
-                 if (!page->next_from) return done(std::move(records));
-                 list_page(priority, prefix, *page->next_from, std::move(records), std::move(done));
+                 if (!page->continue_after) return done(std::move(records));
+                 list_page(priority, prefix, *page->continue_after, std::move(records),
+                           std::move(done));
                });
 }
 
@@ -149,36 +151,36 @@
   list_all(store::Priority::Critical, cluster::keys::kCompletionLog,
            [this, done = std::move(done)](const Records& records) mutable {
              if (records) return done(decode_all(*records));
-             runtime_.after(kReadRetry,
+             runtime_.after(kReadRetryDelay,
                             [this, done = std::move(done)]() mutable { read(std::move(done)); });
            });
 }
 
 std::vector<BitmapChunk> CompletionLog::decode_all(const std::vector<ListedRecord>& records) {
   std::vector<BitmapChunk> chunks;
-  departed_.clear();
+  departed_owner_records_.clear();
   for (const auto& record : records) {
     if (!membership_.is_member(owner_of_record(record.key)))
-      departed_.emplace(record.key, record.mod_revision);
+      departed_owner_records_.emplace(record.key, record.mod_revision);
     auto decoded = decode_completion_record(record.value);
     std::move(decoded.chunks.begin(), decoded.chunks.end(), std::back_inserter(chunks));
-    // What cannot be read counts as not recorded: those tasks run once more.
+    // Tasks in unreadable chunks count as not recorded and run again.
     if (!decoded.complete) client_.decode_errors().record(record.key);
   }
   return chunks;
 }
 
 void CompletionLog::remove_departed_owners() {
-  if (departed_.empty()) return;
+  if (departed_owner_records_.empty()) return;
   std::vector<store::Operation> removals;
   std::vector<store::Compare> compares;
-  for (const auto& [key, mod_revision] : departed_) {
+  for (const auto& [key, mod_revision] : departed_owner_records_) {
     if (removals.size() >= settings_.txn_ops / 2) break;
     removals.push_back({key, std::nullopt});
     compares.push_back({key, mod_revision});
   }
-  // One whose removal fails is removed by whoever reads the records next.
-  for (const auto& removal : removals) departed_.erase(removal.key);
+  // A removal that fails is repeated only after the records are read again.
+  for (const auto& removal : removals) departed_owner_records_.erase(removal.key);
   client_.txn(store::Priority::Background, membership_.ownership_guards(std::move(compares)),
               removals, [](const store::TxnResult&) {});
 }
--- a/src/jobs/completion_log.hpp
+++ b/src/jobs/completion_log.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Stored records of completed tasks: those of this owner, and reading those of all owners.
+// Writes and reads the stored records of completed tasks.
 #include <functional>
 #include <map>
 
@@ -7,50 +7,51 @@
 #include "jobs/completion_codec.hpp"
 
 namespace limemast::jobs {
-/// Writes which tasks of an owner's jobs are complete, in as few records as the value size allows,
-/// and reads the records of all owners.
+/// Writes the completed tasks of this owner's jobs to the key-value store, in as few records as the
+/// value size allows, and reads the records of all owners.
 ///
-/// Workers forget completed attempts on the strength of these records, so an older record must
-/// never replace a newer one: each write compares the revision of every record that it replaces.
-/// After a write that got no answer the records are read before the next write (test:
-/// LateTransactions.NeverRemoveRecordedCompletions).
+/// Workers are commanded to forget a completed attempt once its completion is stored here, so an
+/// older record must never replace a newer one. Each write therefore compares the revision of every
+/// record that it replaces. After a write whose outcome is unknown, the records are read back
+/// before the next write (test: LateTransactions.NeverRemoveRecordedCompletions).
 class CompletionLog {
  public:
   CompletionLog(net::Runtime& runtime, const wire::Settings& settings, store::Client& client,
                 cluster::Membership& membership);
-  /// Writes the records that changed; `done(true)` once all chunks given are stored. Not while
-  /// busy().
+  /// Writes the records that changed. Calls `done(true)` if all given chunks are stored, and
+  /// `done(false)` if another write is needed. Must not be called while `busy()`.
   void write(const std::vector<BitmapChunk>& chunks, std::function<void(bool)> done);
-  /// Reads all owners' records, retrying until the service answers.
+  /// Reads all owners' records, retrying until the store answers.
   void read(std::function<void(std::vector<BitmapChunk>)> done);
   bool busy() const { return busy_; }
-  /// Removes the records of controllers that were no members when all records were last read. What
-  /// they held must have been written anew by its present owners.
+  /// Removes the records of controllers that were not members when all records were last read. The
+  /// present owners must have written the content of these records again.
   void remove_departed_owners();
 
  private:
-  using Records = std::optional<std::vector<ListedRecord>>;  ///< nullopt: no answer
-  /// One of our records as it stands in the service.
+  using Records = std::optional<std::vector<ListedRecord>>;  ///< nullopt: the store did not answer
+  /// One of this owner's records as it is in the store.
   struct StoredRecord {
     std::string text;
-    store::Revision mod_revision{};  ///< kAbsent: there is none
+    store::Revision mod_revision{};  ///< kAbsent: not stored
   };
-  /// A transaction that replaces the records which changed.
+  /// A transaction that replaces the records that changed.
   struct RecordUpdate {
     std::vector<store::Operation> writes;
     std::vector<store::Compare> compares;
-    std::vector<StoredRecord> result;  ///< our records once it is carried out
-    bool complete = true;              ///< false: the rest needs further transactions
+    std::vector<StoredRecord> resulting_records;  ///< this owner's records after the transaction
+    bool complete = true;  ///< false: further transactions must write the remaining records
   };
   RecordUpdate plan_update(const std::vector<std::string>& records) const;
   void on_written(RecordUpdate update, const store::TxnResult& txn,
                   const std::function<void(bool)>& done);
-  /// All records under a prefix, page by page.
+  /// Lists all records under a prefix, page by page.
   void list_all(store::Priority priority, const std::string& prefix,
                 std::function<void(Records)> done);
-  void list_page(store::Priority priority, const std::string& prefix, const std::string& from,
-                 std::vector<ListedRecord> so_far, std::function<void(Records)> done);
-  /// Reads our own records back after a write whose outcome is unknown.
+  /// Lists the page that follows `after_key`, and then all further pages.
+  void list_page(store::Priority priority, const std::string& prefix, const std::string& after_key,
+                 std::vector<ListedRecord> records_so_far, std::function<void(Records)> done);
+  /// Reads this owner's records back after a write whose outcome is unknown.
   void reread_own_records(std::function<void()> done);
   void set_own_records(const std::vector<ListedRecord>& records, const std::string& prefix);
   std::vector<BitmapChunk> decode_all(const std::vector<ListedRecord>& records);
@@ -60,11 +61,11 @@
   const wire::Settings& settings_;
   store::Client& client_;
   cluster::Membership& membership_;
-  /// Our records. A controller instance writes under its own prefix, so there are none before its
-  /// first write.
+  /// This owner's records, by record number. Each incarnation of a controller writes under its own
+  /// prefix, so there are none before the first write.
   std::vector<StoredRecord> stored_;
-  bool outcome_unknown_ = false;  ///< a write may have been carried out, or may yet be
-  std::map<std::string, store::Revision> departed_;  ///< records of former members, by key
+  bool outcome_unknown_ = false;  ///< the last write may or may not be applied, now or later
+  std::map<std::string, store::Revision> departed_owner_records_;  ///< by key
   bool busy_ = false;
 };
 }  // namespace limemast::jobs
--- a/src/jobs/completion_recorder.cpp
+++ b/src/jobs/completion_recorder.cpp
@@ -33,31 +33,31 @@
 }
 
 void CompletionRecorder::on_loaded(const std::vector<BitmapChunk>& chunks,
-                                   ids::EpochNumber read_in) {
+                                   ids::EpochNumber read_epoch) {
   loading_ = false;
-  const auto touched = merge(chunks);
+  const auto merged_jobs = merge(chunks);
   bool load_again = false;
   for (const auto& [uid, job] : owned_jobs_.all()) {
     if (job->completions.loaded) continue;
-    if (job->barrier_epoch > read_in) {  // taken over while the records were read
+    if (job->barrier_epoch > read_epoch) {  // The job was taken over while the records were read.
       load_again = true;
       continue;
     }
     job->completions.loaded = true;
-    if (touched.contains(uid)) mark_recorded_as_done(*job);
+    if (merged_jobs.contains(uid)) mark_recorded_as_done(*job);
   }
   if (load_again) load();
 }
 
 std::set<std::string> CompletionRecorder::merge(const std::vector<BitmapChunk>& chunks) {
-  std::set<std::string> touched;
+  std::set<std::string> merged_jobs;
   for (const auto& chunk : chunks) {
     auto* job = owned_jobs_.find(chunk.uid);
     if (job && job->barrier_epoch != ids::kNoEpoch &&
-        job->completions.recorded.merge_hex(chunk.chunk, chunk.hex))
-      touched.insert(chunk.uid);
+        job->completions.recorded.merge_hex(chunk.index, chunk.hex))
+      merged_jobs.insert(chunk.uid);
   }
-  return touched;
+  return merged_jobs;
 }
 
 void CompletionRecorder::mark_recorded_as_done(Job& job) {
@@ -97,7 +97,7 @@
   for (const auto& uid : jobs_to_save()) {
     auto& job = *owned_jobs_.find(uid);
     auto bitmap = bitmap_of(job.completions.done);
-    for (std::uint32_t chunk = 0; chunk < bitmap.chunks(); ++chunk)
+    for (std::uint32_t chunk = 0; chunk < bitmap.chunk_count(); ++chunk)
       chunks.push_back({uid, chunk, bitmap.chunk_hex(chunk)});
     job.completions.unsaved = false;
     saved.emplace(uid, std::move(bitmap));
@@ -114,7 +114,7 @@
     else
       job->completions.unsaved = true;
   }
-  // Only now is all that departed owners saved contained in records of present ones.
+  // The records of present owners now contain everything that departed owners saved.
   if (ok && all_loaded() && membership_.is_leader()) completion_log_.remove_departed_owners();
 }
 
--- a/src/jobs/completion_recorder.hpp
+++ b/src/jobs/completion_recorder.hpp
@@ -1,25 +1,26 @@
 #pragma once
-// When the completed tasks of owned jobs are saved, and how those of taken-over jobs are loaded.
+// Saves the completed tasks of owned jobs and loads those of jobs taken over.
 #include "jobs/completion_log.hpp"
 #include "jobs/job_completion.hpp"
 
 namespace limemast::jobs {
-/// Saves which tasks are complete, so that the next owner does not run them again, and loads what
-/// former owners saved. Until that is done `Job::completions.loaded` is false.
+/// Saves which tasks are complete, so that the next owner does not run them again, and loads the
+/// completed tasks that former owners saved. `Job::completions.loaded` is false until then.
 class CompletionRecorder {
  public:
   CompletionRecorder(net::Runtime& runtime, const wire::Settings& settings, store::Client& client,
                      cluster::Membership& membership, OwnedJobs& owned_jobs,
                      JobCompletion& job_completion);
-  /// Loads the completed tasks of all jobs that were taken over and are not loaded yet.
+  /// Loads the completed tasks of all jobs that were taken over and not yet loaded.
   void load();
-  /// Saves if something is unsaved and the last save is long enough ago. Once a second.
+  /// Saves if there are unsaved completions and the progress interval has passed since the last
+  /// save. To be called once a second.
   void save_if_due();
 
  private:
   using SavedBitmaps = std::map<std::string, TaskBitmap>;  ///< by job
-  void on_loaded(const std::vector<BitmapChunk>& chunks, ids::EpochNumber read_in);
-  /// Adds the chunks to the recorded completions; returns the jobs that they are of.
+  void on_loaded(const std::vector<BitmapChunk>& chunks, ids::EpochNumber read_epoch);
+  /// Adds the chunks of owned jobs to the recorded completions. Returns the uids of these jobs.
   std::set<std::string> merge(const std::vector<BitmapChunk>& chunks);
   void mark_recorded_as_done(Job& job);
   bool due() const;
--- a/src/jobs/job_api.hpp
+++ b/src/jobs/job_api.hpp
@@ -1,11 +1,12 @@
 #pragma once
-// The users' interface: submissions, status queries, cancellations.
+// The user API: submissions, status queries, cancellations.
 #include "jobs/job_cancellation.hpp"
 #include "jobs/job_submission.hpp"
 #include "jobs/status_reader.hpp"
 
 namespace limemast::jobs {
-/// Any member takes any request of users. Each request is responded to once, now or later.
+/// Handles the requests of users. Any member accepts any request. `respond` is called exactly once,
+/// possibly before the call returns.
 class JobApi {
  public:
   /// All arguments must outlive the API.
@@ -15,8 +16,8 @@
          StatusReader& status_reader);
   /// See `JobSubmission::submit`.
   void submit(const std::string& body, net::Responder respond);
-  /// Responds with the job's status, 404 if it was never accepted, or 503 if that could not be
-  /// found out in time.
+  /// Responds with the job's status, 404 if it was never accepted, or 503 if its status is not
+  /// known in time.
   void query(const std::string& uid, net::Responder respond);
   /// Cancels the job; see `JobCancellation::cancel`.
   void abort(const std::string& uid, net::Responder respond);
--- a/src/jobs/job_cancellation.cpp
+++ b/src/jobs/job_cancellation.cpp
@@ -5,11 +5,11 @@
 namespace limemast::jobs {
 namespace {
 using namespace std::chrono_literals;
-constexpr std::size_t kMaxPending = 500;
-/// For the answer of another member.
-constexpr auto kOwnerTimeout = 1500ms;
-/// For our own job owner, which has to write the job's end.
-constexpr auto kOwnJobTimeout = 4s;
+constexpr std::size_t kMaxPendingCancellations = 500;
+/// How long a reply from another member is awaited.
+constexpr auto kOtherOwnerTimeout = 1500ms;
+/// How long this controller's own job owner, which has to write the final record, is awaited.
+constexpr auto kOwnJobOwnerTimeout = 4s;
 }  // namespace
 
 JobCancellation::JobCancellation(net::Runtime& runtime, cluster::Membership& membership,
@@ -46,15 +46,15 @@
 }
 
 void JobCancellation::cancel(const std::string& uid, net::Responder respond) {
-  if (pass_to_owner(uid, respond)) return;
+  if (forward_to_owner(uid, respond)) return;
   status_reader_.look_up(
       uid, [this, respond = std::move(respond), uid](LookupOutcome outcome, Status status) {
         if (outcome == LookupOutcome::NotFound) return respond(user_protocol::not_found());
         const bool found = outcome == LookupOutcome::Found;
         if (found && (status.phase == Phase::Done || status.phase == Phase::Cancelled))
           return respond(user_protocol::final_phase_response(uid, name_of(status.phase)));
-        // It was accepted elsewhere a moment ago, and the look-up has made it known here.
-        if (!found || !pass_to_owner(uid, respond)) respond(user_protocol::undecided());
+        // Another controller accepted the job just now, and the look-up has refreshed the cache.
+        if (!found || !forward_to_owner(uid, respond)) respond(user_protocol::undecided());
       });
 }
 
@@ -63,23 +63,24 @@
   const auto* job = job_directory_.find(uid);
   if (!job || job->ended) return std::nullopt;
   const auto owner = job_directory_.owner_of(uid);
-  // Ours by the membership epoch, and not taken up yet.
+  // This controller owns the job by the membership epoch but has not taken it up yet.
   if (owner == membership_.self()) return std::nullopt;
   return owner;
 }
 
-bool JobCancellation::pass_to_owner(const std::string& uid, const net::Responder& respond) {
-  if (pending_.size() >= kMaxPending || !membership_.may_act()) return false;
+bool JobCancellation::forward_to_owner(const std::string& uid, const net::Responder& respond) {
+  if (pending_.size() >= kMaxPendingCancellations || !membership_.may_act()) return false;
   const auto owner = known_owner(uid);
   if (!owner) return false;
   const auto id = next_id_++;
   pending_[id] = {respond, uid};
   message_bus_.send(*owner, messages::CancelJob{id, uid});
   const bool own = *owner == membership_.self();
-  runtime_.after(own ? net::Duration(kOwnJobTimeout) : net::Duration(kOwnerTimeout), [this, id] {
-    if (const auto node = pending_.extract(id); !node.empty())
-      node.mapped().respond(user_protocol::undecided());
-  });
+  runtime_.after(own ? net::Duration(kOwnJobOwnerTimeout) : net::Duration(kOtherOwnerTimeout),
+                 [this, id] {
+                   if (const auto node = pending_.extract(id); !node.empty())
+                     node.mapped().respond(user_protocol::undecided());
+                 });
   return true;
 }
 }  // namespace limemast::jobs
--- a/src/jobs/job_completion.cpp
+++ b/src/jobs/job_completion.cpp
@@ -8,9 +8,9 @@
 namespace limemast::jobs {
 namespace {
 using namespace std::chrono_literals;
-constexpr auto kCommitRetry = 300ms;
+constexpr auto kCommitRetryDelay = 300ms;
 
-/// The phase is decided and we do not know yet whether its record is stored.
+/// The final phase is decided, and it is not yet known whether its record is stored.
 bool awaits_final_record(const Job* job) { return job && job->final_phase && !job->completed; }
 }  // namespace
 
@@ -32,7 +32,8 @@
   ++job.completed_tasks;
   std::erase(job.queue.released, index);
   job.completions.unsaved = true;
-  if (job.completed_tasks == job.record.spec.tasks && job.alive()) decide(job, Phase::Done);
+  if (job.completed_tasks == job.record.spec.tasks && job.alive())
+    decide_final_phase(job, Phase::Done);
 }
 
 void JobCompletion::cancel(const std::string& uid, std::function<void(std::optional<Phase>)> done) {
@@ -40,15 +41,15 @@
   if (!job) return done(std::nullopt);
   if (job->completed) return done(job->final_phase);
   job->cancellation_callbacks.push_back(std::move(done));
-  if (!job->final_phase) decide(*job, Phase::Cancelled);
+  if (!job->final_phase) decide_final_phase(*job, Phase::Cancelled);
 }
 
-void JobCompletion::decide(Job& job, Phase phase) {
+void JobCompletion::decide_final_phase(Job& job, Phase phase) {
   job.final_phase = phase;
   commit(job.record.spec.uid);
 }
 
-bool JobCompletion::lost_owner_may_answer(const Job& job) const {
+bool JobCompletion::lost_owner_may_still_answer(const Job& job) const {
   return job.barrier_epoch != ids::kNoEpoch &&
          runtime_.now() < membership_.lost_members_silent_from();
 }
@@ -56,22 +57,22 @@
 void JobCompletion::commit(const std::string& uid) {
   const auto* job = owned_jobs_.find(uid);
   if (!awaits_final_record(job)) return;
-  if (!membership_.may_act() || lost_owner_may_answer(*job))
-    commit_later(uid);
+  if (!membership_.may_act() || lost_owner_may_still_answer(*job))
+    schedule_commit(uid);
   else
     write_final_record(*job);
 }
 
-void JobCompletion::commit_later(const std::string& uid) {
-  runtime_.after(kCommitRetry, [this, uid] { commit(uid); });
+void JobCompletion::schedule_commit(const std::string& uid) {
+  runtime_.after(kCommitRetryDelay, [this, uid] { commit(uid); });
 }
 
 void JobCompletion::write_final_record(const Job& job) {
   const auto& uid = job.record.spec.uid;
   const auto active_key = cluster::keys::active_job(uid);
   const auto final_key = cluster::keys::final_job(uid);
-  // The revision as the watch cache shows it: operators may have rewritten the record by hand, and
-  // then no other comparison would ever hold (test:
+  // The revision comes from the watch cache, because an operator may have edited the record by hand
+  // and a comparison with the revision known to this owner would then fail forever (test:
   // Restarts.AJobWhoseRecordWasWrittenAnewByHandStillEnds).
   const auto* active = job_directory_.find(uid);
   const auto revision = active ? active->mod_revision : job.record.mod_revision;
@@ -91,7 +92,7 @@
     case store::TxnStatus::Ok:
       return announce(uid, *job->final_phase);
     case store::TxnStatus::Refused:
-      return commit_later(uid);
+      return schedule_commit(uid);
     default:
       return read_final_record(uid);
   }
@@ -109,7 +110,7 @@
   if (phase) return announce(uid, *phase);
   if (found) client_.decode_errors().record(cluster::keys::final_job(uid));
   const bool not_stored = result.answered && !result.found;
-  runtime_.after(kCommitRetry, [this, uid, not_stored] {
+  runtime_.after(kCommitRetryDelay, [this, uid, not_stored] {
     if (not_stored)
       commit(uid);
     else
@@ -119,9 +120,9 @@
 
 void JobCompletion::on_active_record_removed(const std::string& uid) {
   if (!awaits_final_record(owned_jobs_.find(uid))) return;
-  // Mostly the answer comes a moment later. A lost answer never comes, and without this users whose
-  // cancellation is stored waited seconds for it.
-  runtime_.after(kCommitRetry, [this, uid] {
+  // The response to the write usually arrives shortly after this event. If it was lost, reading the
+  // record spares users whose cancellation is already stored a wait of several seconds.
+  runtime_.after(kCommitRetryDelay, [this, uid] {
     if (awaits_final_record(owned_jobs_.find(uid))) read_final_record(uid);
   });
 }
@@ -141,7 +142,8 @@
   job->final_phase = phase;
   job->completed = true;
   pending_reasons_.clear(uid, runtime_.now());
-  spdlog::debug("job {} {}, epoch {}", uid, name_of(phase), membership_.epoch().number);
+  spdlog::debug("job {} ended: phase {}, epoch {}", uid, name_of(phase),
+                membership_.epoch().number);
   for (auto& callback : std::exchange(job->cancellation_callbacks, {})) callback(phase);
 }
 }  // namespace limemast::jobs
--- a/src/jobs/job_completion.hpp
+++ b/src/jobs/job_completion.hpp
@@ -1,13 +1,13 @@
 #pragma once
-// How owned jobs end: completed tasks, cancellations, and the final record of each job.
+// Ends owned jobs: counts completed tasks, handles cancellations, and writes final records.
 #include "diagnostics/pending_reason_table.hpp"
 #include "jobs/completion_broadcast.hpp"
 #include "jobs/owned_jobs.hpp"
 
 namespace limemast::jobs {
 /// Decides the final phase of a job once, writes its final record in a transaction that compares
-/// the job's own records, and announces it when it is stored. Whatever the outcome of a write, the
-/// phase that the state service has stored is the one that counts.
+/// the revisions of the job's records, and announces the phase once it is stored. The phase in the
+/// key-value store is authoritative, even if it differs from the one decided here.
 class JobCompletion {
  public:
   JobCompletion(net::Runtime& runtime, store::Client& client, cluster::Membership& membership,
@@ -15,26 +15,29 @@
                 diagnostics::PendingReasonTable& pending_reasons,
                 CompletionBroadcast& completion_broadcast, OwnedJobs& owned_jobs);
 
-  /// The task is complete. The job ends with its last one.
+  /// Marks the task as complete. The job ends when all its tasks are complete.
   void mark_done(Job& job, std::uint32_t index);
-  /// `done` gets the final phase once it is stored, or nullopt if the job is not owned here.
+  /// Cancels the job. Calls `done` with the final phase once it is stored, or with nullopt if this
+  /// controller does not own the job.
   void cancel(const std::string& uid, std::function<void(std::optional<Phase>)> done);
-  /// The watch cache shows that the job's active record is gone. If the answer to our own write was
-  /// lost, the final record is read.
+  /// To be called when the watch cache shows that the job's active record was deleted. Reads the
+  /// final record if the response to this controller's own write was lost.
   void on_active_record_removed(const std::string& uid);
-  /// The job's final record is stored, whoever wrote it. No task of it is assigned any more.
+  /// To be called when the job's final record is stored, whichever controller wrote it. From then
+  /// on no task of the job is assigned.
   void on_job_ended(const std::string& uid, Phase phase);
 
  private:
-  void decide(Job& job, Phase phase);
+  void decide_final_phase(Job& job, Phase phase);
+  /// Writes the decided final phase, or schedules a retry if that is not allowed yet.
   void commit(const std::string& uid);
-  void commit_later(const std::string& uid);
-  /// A member that was lost may still answer users that the job runs, after we have announced its
-  /// end.
-  bool lost_owner_may_answer(const Job& job) const;
+  void schedule_commit(const std::string& uid);
+  /// True while a lost former owner may still report the job as running to users, even after its
+  /// end was announced here.
+  bool lost_owner_may_still_answer(const Job& job) const;
   void write_final_record(const Job& job);
   void on_final_record_written(const std::string& uid, store::TxnStatus status);
-  /// Reads the final record, as the outcome of our write is unknown.
+  /// Reads the final record after a write whose outcome is unknown.
   void read_final_record(const std::string& uid);
   void on_final_record_read(const std::string& uid, const store::GetResult& result);
   void announce(const std::string& uid, Phase phase);
--- a/src/jobs/job_submission.cpp
+++ b/src/jobs/job_submission.cpp
@@ -14,10 +14,10 @@
 using wire::json;
 constexpr unsigned kAcceptAttempts = 4;
 constexpr auto kAcceptRetryDelay = 100ms;
-/// A submission that would wait longer for the store is rejected.
+/// Submissions are rejected while writes would wait longer than this for the store.
 constexpr auto kMaxWriteBacklog = 2s;
-/// Rejecting counts as over once the backlog is below this, so that it is logged once and not for
-/// each submission.
+/// The end of rejecting is logged once the backlog is below this, so that a backlog near the
+/// maximum does not log a line for each submission.
 constexpr auto kWriteBacklogRecovered = kMaxWriteBacklog / 4;
 }  // namespace
 
@@ -30,7 +30,7 @@
         return respond(user_protocol::status_response(uid, status));
       case LookupOutcome::NotFound:
         return respond(if_not_found);
-      case LookupOutcome::Undecided:
+      case LookupOutcome::Unknown:
         return respond(user_protocol::undecided());
     }
   });
@@ -58,13 +58,13 @@
   if (is_known(spec->uid))
     return respond_with_status(status_reader_, spec->uid, user_protocol::undecided(),
                                std::move(respond));
-  // A job that was accepted is not rejected when it is submitted again, whatever has become of the
-  // machine types since, and whichever member gets it.
-  if (const auto reason = reason_never_runs(*spec, settings_, registry_))
+  // A job that was accepted before is not rejected when it is submitted again, even if the
+  // available machine types have changed or another member receives it.
+  if (const auto reason = infeasibility_reason(*spec, settings_, registry_))
     return respond_with_status(status_reader_, spec->uid, user_protocol::unprocessable(*reason),
                                std::move(respond));
   if (const auto backlog = excessive_write_backlog()) return respond(user_protocol::busy(*backlog));
-  // Only types that exist: a long list of others would not fit into a value of the store.
+  // Unknown machine types are dropped, because a long list could exceed the store's value size.
   if (spec->types)
     std::erase_if(*spec->types, [&](const auto& type) { return !registry_.type(type); });
   accept(*spec, kAcceptAttempts, std::move(respond));
@@ -80,29 +80,31 @@
   const bool changed = excessive ? !rejecting_ : rejecting_ && backlog < kWriteBacklogRecovered;
   if (changed) {
     rejecting_ = excessive;
-    spdlog::info("{} submissions: {:.1f} s of writes wait for the state service, epoch {}",
-                 excessive ? "turning away" : "taking all", net::to_seconds(backlog).count(),
+    spdlog::info("{} submissions: key-value store write backlog is {:.1f} s, epoch {}",
+                 excessive ? "rejecting" : "accepting all", net::to_seconds(backlog).count(),
                  membership_.epoch().number);
   }
   return excessive ? std::optional(backlog) : std::nullopt;
 }
 
-void JobSubmission::accept(const wire::JobSpec& spec, unsigned attempts, net::Responder respond) {
-  if (!membership_.may_act() || attempts == 0) return respond(user_protocol::busy());
+void JobSubmission::accept(const wire::JobSpec& spec, unsigned attempts_left,
+                           net::Responder respond) {
+  if (!membership_.may_act() || attempts_left == 0) return respond(user_protocol::busy());
   const bool is_long = spec.service || spec.gang || spec.estimate > settings_.tuning.long_threshold;
   const auto conditions =
       membership_.ownership_guards({{cluster::keys::active_job(spec.uid), store::kAbsent},
                                     {cluster::keys::final_job(spec.uid), store::kAbsent}});
   const auto record = cluster::JobDirectory::record(
       spec, membership_.self(), membership_.epoch().number, is_long, runtime_.wall());
-  client_.txn(
-      store::Priority::UserWrite, conditions, {{cluster::keys::active_job(spec.uid), record}},
-      [this, spec, attempts, respond = std::move(respond)](const store::TxnResult& result) mutable {
-        on_accept_result(spec, attempts, result, std::move(respond));
-      });
+  client_.txn(store::Priority::UserWrite, conditions,
+              {{cluster::keys::active_job(spec.uid), record}},
+              [this, spec, attempts_left,
+               respond = std::move(respond)](const store::TxnResult& result) mutable {
+                on_accept_result(spec, attempts_left, result, std::move(respond));
+              });
 }
 
-void JobSubmission::on_accept_result(const wire::JobSpec& spec, unsigned attempts,
+void JobSubmission::on_accept_result(const wire::JobSpec& spec, unsigned attempts_left,
                                      const store::TxnResult& result, net::Responder respond) {
   if (result.status == store::TxnStatus::Ok)
     return respond(
@@ -117,9 +119,10 @@
   if (accepted_before)
     return respond_with_status(status_reader_, spec.uid, user_protocol::undecided(),
                                std::move(respond));
-  // The membership epoch has changed meanwhile: once more with the new one.
-  runtime_.after(kAcceptRetryDelay, [this, spec, attempts, respond = std::move(respond)]() mutable {
-    accept(spec, attempts - 1, std::move(respond));
-  });
+  // Only the membership guards failed, so the write is retried in the new epoch.
+  runtime_.after(kAcceptRetryDelay,
+                 [this, spec, attempts_left, respond = std::move(respond)]() mutable {
+                   accept(spec, attempts_left - 1, std::move(respond));
+                 });
 }
 }  // namespace limemast::jobs
--- a/src/jobs/job_submission.hpp
+++ b/src/jobs/job_submission.hpp
@@ -1,14 +1,14 @@
 #pragma once
-// Accepts jobs: each at most once, however often and wherever it is submitted.
+// Accepts submitted jobs. Submissions are idempotent across all controllers.
 #include "jobs/status_reader.hpp"
 
 namespace limemast::jobs {
-/// Looks the job up and answers with its status if it is found, with `if_not_found` if it was never
-/// accepted, and with 503 if that cannot be found out.
+/// Looks up the job and responds with its status, with `if_not_found` if it was never accepted, or
+/// with 503 if its status is unknown.
 void respond_with_status(StatusReader& status_reader, const std::string& uid,
                          net::HttpResponse if_not_found, net::Responder respond);
 
-/// The submissions of the users' interface. Any member accepts any job, and owns what it accepted.
+/// Handles the submissions of the user API. Any member accepts any job and becomes its first owner.
 /// Not thread-safe; all calls come from the event loop.
 class JobSubmission {
  public:
@@ -17,18 +17,19 @@
                 cluster::Membership& membership, cluster::JobDirectory& job_directory,
                 machines::Registry& registry, JobOwner& job_owner, StatusReader& status_reader);
 
-  /// Responds with 201 once the job's record is written, 200 if it was accepted before, 400 or 422
-  /// if it cannot be accepted, 503 if the user is to try again.
+  /// Responds with 201 once the job's record is written, 200 if the job was accepted before, 400 or
+  /// 422 if it cannot be accepted, and 503 if the user should retry.
   void submit(const std::string& body, net::Responder respond);
 
  private:
-  /// The job is known here. It may have ended since.
+  /// True if the job was accepted before and is known here, whether active or ended.
   bool is_known(const std::string& uid) const;
-  /// How long the store's queue of writes is, if it is too long for another submission.
+  /// The time until a new write would be sent to the store, if it is too long to accept another
+  /// submission; nullopt otherwise.
   std::optional<net::Duration> excessive_write_backlog();
-  /// Writes the job's record; `attempts`: how often that may be tried.
-  void accept(const wire::JobSpec& spec, unsigned attempts, net::Responder respond);
-  void on_accept_result(const wire::JobSpec& spec, unsigned attempts,
+  /// Writes the job's record, in at most `attempts_left` transactions.
+  void accept(const wire::JobSpec& spec, unsigned attempts_left, net::Responder respond);
+  void on_accept_result(const wire::JobSpec& spec, unsigned attempts_left,
                         const store::TxnResult& result, net::Responder respond);
 
   net::Runtime& runtime_;
@@ -39,6 +40,6 @@
   machines::Registry& registry_;
   JobOwner& job_owner_;
   StatusReader& status_reader_;
-  bool rejecting_ = false;  ///< as last logged
+  bool rejecting_ = false;  ///< the state that was last logged
 };
 }  // namespace limemast::jobs
--- a/src/jobs/status_reader.cpp
+++ b/src/jobs/status_reader.cpp
@@ -7,18 +7,19 @@
 using namespace std::chrono_literals;
 constexpr std::size_t kMaxFinalStatuses = 20'000;
 constexpr std::size_t kMaxUnanswered = 2'000;
-/// Queries to one owner are gathered for this long.
+/// How long queries to one owner are collected before they are sent as one message.
 constexpr auto kOwnerBatchDelay = 15ms;
 constexpr auto kOwnerTimeout = 400ms;
-/// An owner that did not answer is not asked again for this long.
+/// How long no query is sent to an owner that did not answer in time.
 constexpr auto kUnresponsiveOwnerPause = 2s;
 constexpr auto kMinRefreshInterval = 120ms;
-/// Reads that would wait longer than this are not sent: users wait for two seconds.
+/// Reads that would wait longer than this in the store's queue are not sent, since users stop
+/// waiting after 2 s.
 constexpr auto kMaxReadBacklog = 1s;
 
 bool is_final(Phase phase) { return phase == Phase::Done || phase == Phase::Cancelled; }
 
-/// Number of tasks in a final record; 0 if it does not say.
+/// The number of tasks in a final record; 0 if the record has no valid count.
 std::uint32_t task_count(const wire::json& final_record) {
   const auto tasks = final_record.find("tasks");
   const bool present = tasks != final_record.end() && tasks->is_number_unsigned();
@@ -57,7 +58,7 @@
 void StatusReader::look_up(const std::string& uid, LookupCallback done) {
   if (const auto* status = final_statuses_.find(uid)) return done(LookupOutcome::Found, *status);
   if (const auto status = own_status(uid)) return done(LookupOutcome::Found, *status);
-  if (unanswered_ >= kMaxUnanswered) return done(LookupOutcome::Undecided, {});
+  if (unanswered_ >= kMaxUnanswered) return done(LookupOutcome::Unknown, {});
   ++unanswered_;
   Query query{uid, [this, done = std::move(done)](LookupOutcome outcome, Status status) {
                 --unanswered_;
@@ -71,13 +72,13 @@
 
 std::optional<Status> StatusReader::own_status(const std::string& uid) {
   const auto status = job_owner_.status(uid);
-  // While the end is being written, others may read it and tell it before we hear that it was
-  // written: only the store can tell.
+  // While the final record is being written, another controller may already have read it and
+  // reported it to the user. Only the store knows the current state then.
   if (!status || status->deciding) return std::nullopt;
   const bool final = is_final(status->phase);
   if (final) cache_final_status(uid, *status);
-  // Unless the lease is certain somebody else may own the job by now: then only what can never
-  // change may be told from memory.
+  // If the lease may have expired, another controller may own the job by now. Only a final status,
+  // which never changes, may then be answered from memory.
   return final || membership_.lease_certain() ? status : std::nullopt;
 }
 
@@ -123,7 +124,7 @@
 void StatusReader::on_status_query(const ControllerId& from, const messages::StatusQuery& query) {
   messages::StatusReply reply{query.id, {}};
   for (const auto& uid : query.uids) {
-    // The same conditions as in `own_status`.
+    // Same conditions as in `own_status`.
     if (const auto status = job_owner_.status(uid);
         status && !status->deciding && membership_.lease_certain())
       reply.states.emplace_back(messages::StatusReply::Entry{static_cast<unsigned>(status->phase),
@@ -136,19 +137,19 @@
 
 void StatusReader::on_status_reply(const messages::StatusReply& reply) {
   auto node = awaiting_reply_.extract(reply.id);
-  if (node.empty()) return;  // it came after the timeout: the store is asked by now
-  Batch undecided;
+  if (node.empty()) return;  // The reply came after the timeout; the store is queried instead.
+  Batch unresolved;
   auto& batch = node.mapped();
   for (std::size_t i = 0; i < batch.size(); ++i) {
     const auto entry = i < reply.states.size() ? reply.states[i] : std::nullopt;
-    if (!answer_from_owner(batch[i], entry)) undecided.push_back(std::move(batch[i]));
+    if (!answer_from_owner(batch[i], entry)) unresolved.push_back(std::move(batch[i]));
   }
-  enqueue_for_store(std::move(undecided));
+  enqueue_for_store(std::move(unresolved));
 }
 
 bool StatusReader::answer_from_owner(const Query& query,
                                      const std::optional<messages::StatusReply::Entry>& entry) {
-  // The job's end may have become known here while the reply was under way.
+  // The job's final status may have been cached here while the reply was in transit.
   if (const auto* status = final_statuses_.find(query.uid)) {
     query.done(LookupOutcome::Found, *status);
     return true;
@@ -186,8 +187,8 @@
   return true;
 }
 
-/// One refresh answers all queries that came before it was sent: the cache then shows every job
-/// that was active at that time.
+/// One refresh answers all queries received before it was sent, because the cache then contains
+/// every job that was active at that time.
 void StatusReader::start_refresh() {
   refresh_running_ = true;
   last_refresh_ = runtime_.now();
@@ -204,20 +205,20 @@
 void StatusReader::answer_after_refresh(Query query, bool fresh) {
   if (const auto* status = final_statuses_.find(query.uid))
     return query.done(LookupOutcome::Found, *status);
-  if (!fresh) return query.done(LookupOutcome::Undecided, {});
+  if (!fresh) return query.done(LookupOutcome::Unknown, {});
   if (const auto* job = job_directory_.find(query.uid); job && !job->ended)
     return query.done(LookupOutcome::Found, active_status(query.uid));
   final_records_to_read_[query.uid].push_back(std::move(query.done));
 }
 
-/// A job moves from its active to its final record in one transaction: what had no active record
-/// and has no final one later was never accepted.
+/// One transaction replaces a job's active record by its final record. A job that has no active
+/// record, and afterwards no final record either, was therefore never accepted.
 void StatusReader::read_final_record(const std::string& uid, Callbacks callbacks) {
   const LookupCallback done = [callbacks = std::move(callbacks)](LookupOutcome outcome,
                                                                  const Status& status) {
     for (const auto& callback : callbacks) callback(outcome, status);
   };
-  if (client_.read_backlog() > kMaxReadBacklog) return done(LookupOutcome::Undecided, {});
+  if (client_.read_backlog() > kMaxReadBacklog) return done(LookupOutcome::Unknown, {});
   client_.get(
       store::Priority::UserRead, cluster::keys::final_job(uid),
       [this, uid, done](const store::GetResult& result) { on_final_record(uid, result, done); });
@@ -225,18 +226,18 @@
 
 void StatusReader::on_final_record(const std::string& uid, const store::GetResult& result,
                                    const LookupCallback& done) {
-  if (!result.answered) return done(LookupOutcome::Undecided, {});
+  if (!result.answered) return done(LookupOutcome::Unknown, {});
   if (!result.found) return done(LookupOutcome::NotFound, {});
   const auto phase = final_phase(result.value);
   if (!phase) {
     client_.decode_errors().record(cluster::keys::final_job(uid));
-    return done(LookupOutcome::Undecided, {});
+    return done(LookupOutcome::Unknown, {});
   }
   Status status;
   status.phase = *phase;
   if (status.phase == Phase::Done) status.done = task_count(result.value);
-  // Whoever wrote it may have ended before it could announce it, and the watches of others may be
-  // interrupted.
+  // The controller that wrote the final record may have crashed before announcing it, and watches
+  // of other controllers may be interrupted.
   if (const auto* job = job_directory_.find(uid); job && !job->ended)
     completion_broadcast_.announce(uid, status);
   cache_final_status(uid, status);
--- a/src/jobs/submission_validation.hpp
+++ b/src/jobs/submission_validation.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Checks whether a submission could ever run.
+// Checks whether a submitted job could ever run.
 #include <optional>
 #include <string>
 
@@ -7,9 +7,9 @@
 #include "wire/settings.hpp"
 
 namespace limemast::jobs {
-/// Why no machine that can be launched could ever run the job, or its team's limit never allows
-/// it; nullopt if neither holds. The registry must know the machine types.
-std::optional<std::string> reason_never_runs(const wire::JobSpec& spec,
-                                             const wire::Settings& settings,
-                                             const machines::Registry& registry);
+/// Why the job can never run: no machine type fits its tasks, or its team's limit is too low.
+/// nullopt if the job can run. The registry must already know the machine types.
+std::optional<std::string> infeasibility_reason(const wire::JobSpec& spec,
+                                                const wire::Settings& settings,
+                                                const machines::Registry& registry);
 }  // namespace limemast::jobs
--- a/src/jobs/user_protocol.cpp
+++ b/src/jobs/user_protocol.cpp
@@ -6,7 +6,7 @@
 namespace {
 using wire::json;
 constexpr int kMinRetryAfterSeconds = 1;
-constexpr int kMaxRetryAfterSeconds = 30;  ///< users wait no longer, whatever they are told
+constexpr int kMaxRetryAfterSeconds = 30;  ///< users retry after this time at the latest
 
 net::HttpResponse json_response(int status, const json& body, int retry_after_s = 0) {
   net::HttpResponse out;
--- a/src/jobs/user_protocol.hpp
+++ b/src/jobs/user_protocol.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The responses of the users' interface. Its field names and texts are spelled here only.
+// The responses of the user API. This is the only place that defines their field names and texts.
 #include <string>
 
 #include "jobs/job.hpp"
@@ -15,28 +15,28 @@
 constexpr int kServiceUnavailable = 503;
 }  // namespace http_status
 
-/// The job and its status, with 200 or `http_status`.
+/// The job's status.
 net::HttpResponse status_response(const std::string& uid, const Status& status,
                                   int http_status = http_status::kOk);
-/// The answer to a cancellation: how the job ended. `phase`: its name on the wire.
+/// The response to a cancellation: the job's final phase. `phase` is its name on the wire.
 net::HttpResponse final_phase_response(const std::string& uid, const std::string& phase);
-/// No such job was ever accepted.
+/// 404: no job with this uid was ever accepted.
 net::HttpResponse not_found();
-/// Whether there is such a job, or how it ended, could not be found out in time.
+/// 503: whether the job exists, or how it ended, is not known in time.
 net::HttpResponse undecided();
-/// This controller cannot accept jobs now.
+/// 503: this controller cannot accept jobs now.
 net::HttpResponse not_ready();
-/// The store did not take the job.
+/// 503: the job could not be written to the key-value store.
 net::HttpResponse store_unavailable();
-/// The submission cannot be read. `field`: the first one that is wrong.
+/// 400: the submission cannot be parsed. `field` is the first invalid field.
 net::HttpResponse bad_request(const std::string& field);
-/// The submission can be read, and no machine could ever run it. `reason` begins with the field.
+/// 422: the submission is well-formed, but the job can never run. `reason` begins with the field.
 net::HttpResponse unprocessable(const std::string& reason);
-/// Rejected under load. `wait`: until the requests before it will have been served; users are told
-/// whole seconds, within limits.
+/// 503: the request is rejected under load. `wait` is the time until the requests ahead of it are
+/// served. The Retry-After header gives it in whole seconds, clamped to fixed limits.
 net::HttpResponse busy(net::Duration wait = {});
 
-/// Why a submission is unprocessable.
+/// The reasons for a 422 response.
 namespace unprocessable_reason {
 constexpr auto kUnknownTeam = "owner: unknown team";
 constexpr auto kFitsNoType = "flavors: a task fits no allowed machine type";
