--- a/src/diagnostics/capacity_diagnosis.cpp
+++ b/src/diagnostics/capacity_diagnosis.cpp
@@ -8,18 +8,20 @@
 using namespace std::chrono_literals;
 using wire::Resources;
 
-constexpr auto kMaxAge = 1s;
-/// Shapes of jobs whose surveys are kept; beyond, all are dropped and made anew.
+/// The maximum age of surveys and of the teams' usage.
+constexpr auto kMaxCacheAge = 1s;
+/// The maximum number of cached surveys. When it is exceeded, all are dropped.
 constexpr std::size_t kMaxSurveys = 256;
-/// Where there is room for a smaller part of the waiting tasks, something else keeps the rest.
-constexpr double kMinShareWithRoom = 0.25;
-/// Quota is granted for some tasks at once: within that of the limit no more is to be had.
+/// If less than this fraction of the pending tasks fits, the reason is what blocks the other tasks.
+constexpr double kMinFittingFraction = 0.25;
+/// Quota is granted for this many tasks at once. A team whose limit does not allow one more grant
+/// is at its limit.
 constexpr double kTasksPerGrant = 8;
-/// Stands for room without a limit, for tasks that need nothing.
-constexpr double kAnyNumberOfTasks = 1e9;
+/// The result for tasks that require no resources.
+constexpr double kUnlimitedTasks = 1e9;
 
 double tasks_that_fit(const Resources& room, const Resources& need) {
-  double tasks = kAnyNumberOfTasks;
+  double tasks = kUnlimitedTasks;
   const auto limit = [&](double available, double needed) {
     if (needed > 0) tasks = std::min(tasks, (available + Resources::kTolerance) / needed);
   };
@@ -29,7 +31,8 @@
   return std::floor(tasks);
 }
 
-/// The job's rules allow another task in the zone. `zones`: where its tasks are.
+/// True if the job's zone rules allow another task in `zone`. `zones`: how many of its tasks are in
+/// each zone.
 bool zone_allows(const wire::JobSpec& spec, const std::string& zone,
                  const std::map<std::string, std::uint32_t>& zones) {
   const auto found = zones.find(zone);
@@ -72,8 +75,8 @@
   const auto shape = shape_of(spec, is_long);
   if (surveys_.size() > kMaxSurveys && !surveys_.contains(shape)) surveys_.clear();
   auto& survey = surveys_[shape];
-  if (survey.at != net::Time{} && now - survey.at < kMaxAge) return survey;
-  survey.at = now;
+  if (survey.taken_at != net::Time{} && now - survey.taken_at < kMaxCacheAge) return survey;
+  survey.taken_at = now;
   survey.zones.clear();
   for (const auto& [name, machine_status] : registry_.machine_statuses())
     add_machine(spec, shape, name, machine_status, survey);
@@ -100,8 +103,8 @@
   zone.has_machines = true;
   if (has_room)
     add_machine_with_room(spec, shape, machine, machine_status, zone);
-  else if (!zone.room_below_others)
-    zone.room_below_others = has_room_below_others(spec, machine_status);
+  else if (!zone.room_taken_by_higher_rank)
+    zone.room_taken_by_higher_rank = fits_without_higher_rank(spec, machine_status);
 }
 
 void CapacityDiagnosis::add_machine_with_room(const wire::JobSpec& spec, const JobShape& shape,
@@ -122,12 +125,12 @@
     return;
   }
   const auto free = registry_.free_resources(machine_status);
-  auto& tasks = shape.best_effort ? zone.tasks_in_guaranteed_room : zone.tasks_with_room;
+  auto& tasks = shape.best_effort ? zone.fitting_tasks_reserved_for_guarantees : zone.fitting_tasks;
   tasks += tasks_that_fit(free, Resources::of(spec));
 }
 
-bool CapacityDiagnosis::has_room_below_others(const wire::JobSpec& spec,
-                                              const machines::MachineStatus& machine_status) const {
+bool CapacityDiagnosis::fits_without_higher_rank(
+    const wire::JobSpec& spec, const machines::MachineStatus& machine_status) const {
   auto room = registry_.free_resources(machine_status);
   for (const auto& task : machine_status.heartbeat.tasks) {
     const auto* other = task.exited() ? nullptr : job_directory_.find(task.uid);
@@ -137,7 +140,7 @@
 }
 
 const std::map<std::string, Resources>& CapacityDiagnosis::team_usage(net::Time now) {
-  if (team_usage_at_ != net::Time{} && now - team_usage_at_ < kMaxAge) return team_usage_;
+  if (team_usage_at_ != net::Time{} && now - team_usage_at_ < kMaxCacheAge) return team_usage_;
   team_usage_at_ = now;
   team_usage_.clear();
   for (const auto& [uid, job] : job_directory_.all())
@@ -159,45 +162,48 @@
          (limits.accelerators_max > 0 && with_next_grant.accelerators > limits.accelerators_max);
 }
 
-CapacityDiagnosis::Offer CapacityDiagnosis::combine(
+CapacityDiagnosis::CapacitySummary CapacityDiagnosis::combine(
     const Survey& survey, const wire::JobSpec& spec,
     const std::map<std::string, std::uint32_t>& zones) {
-  Offer offer;
+  CapacitySummary summary;
   for (const auto& [name, zone] : survey.zones) {
     if (!zone_allows(spec, name, zones)) {
-      offer.room_in_forbidden_zone = offer.room_in_forbidden_zone || zone.tasks_with_room > 0 ||
-                                     zone.tasks_in_guaranteed_room > 0 ||
-                                     zone.room_in_short_partition;
+      summary.room_in_forbidden_zone = summary.room_in_forbidden_zone || zone.fitting_tasks > 0 ||
+                                       zone.fitting_tasks_reserved_for_guarantees > 0 ||
+                                       zone.room_in_short_partition;
       continue;
     }
-    offer.tasks_with_room += zone.tasks_with_room;
-    offer.guaranteed_room = offer.guaranteed_room || zone.tasks_in_guaranteed_room > 0;
-    offer.room_in_short_partition = offer.room_in_short_partition || zone.room_in_short_partition;
-    offer.room_beside_long_tasks = offer.room_beside_long_tasks || zone.room_beside_long_tasks;
-    offer.room_on_drained = offer.room_on_drained || zone.room_on_drained;
-    offer.room_below_others =
-        offer.room_below_others || zone.room_below_others || zone.room_reserved_for_services;
-    offer.has_machines = offer.has_machines || zone.has_machines;
-    keep_earlier(offer.provisioned_at, zone.provisioned_at);
+    summary.fitting_tasks += zone.fitting_tasks;
+    summary.room_reserved_for_guarantees =
+        summary.room_reserved_for_guarantees || zone.fitting_tasks_reserved_for_guarantees > 0;
+    summary.room_in_short_partition =
+        summary.room_in_short_partition || zone.room_in_short_partition;
+    summary.room_beside_long_tasks = summary.room_beside_long_tasks || zone.room_beside_long_tasks;
+    summary.room_on_drained = summary.room_on_drained || zone.room_on_drained;
+    summary.room_taken_by_higher_rank = summary.room_taken_by_higher_rank ||
+                                        zone.room_taken_by_higher_rank ||
+                                        zone.room_reserved_for_services;
+    summary.has_machines = summary.has_machines || zone.has_machines;
+    keep_earlier(summary.provisioned_at, zone.provisioned_at);
   }
-  return offer;
+  return summary;
 }
 
-/// The reason that is expected to end first is named; of those that an operator can lift, before
-/// those that nobody can.
+/// If several reasons apply, returns the one that is expected to end first. Reasons that an
+/// operator can remove come before the others.
 CapacityDiagnosis::Diagnosis CapacityDiagnosis::diagnose(
-    const wire::JobSpec& spec, bool is_long, std::uint32_t waiting,
-    const std::map<std::string, std::uint32_t>& zones, bool failed, net::Time now) {
-  const auto offer = combine(survey(spec, is_long, now), spec, zones);
-  if (offer.tasks_with_room > 0 && offer.tasks_with_room >= waiting * kMinShareWithRoom)
-    return {failed ? PendingReason::BackingOff : PendingReason::Placing, std::nullopt};
-  if (offer.room_on_drained) return {PendingReason::Draining, std::nullopt};
-  if (offer.provisioned_at) return {PendingReason::Booting, offer.provisioned_at};
-  if (offer.guaranteed_room) return {PendingReason::OthersGuarantee, std::nullopt};
-  if (offer.room_in_forbidden_zone) return {PendingReason::ZoneRule, std::nullopt};
-  if (offer.room_in_short_partition) return {PendingReason::ShortPartition, std::nullopt};
-  if (offer.room_beside_long_tasks) return {PendingReason::BesideLongTasks, std::nullopt};
-  if (offer.room_below_others) return {PendingReason::HigherRank, std::nullopt};
-  return {offer.has_machines ? PendingReason::Resources : PendingReason::NoMachine, std::nullopt};
+    const wire::JobSpec& spec, bool is_long, std::uint32_t pending,
+    const std::map<std::string, std::uint32_t>& zones, bool failed_recently, net::Time now) {
+  const auto summary = combine(survey(spec, is_long, now), spec, zones);
+  if (summary.fitting_tasks > 0 && summary.fitting_tasks >= pending * kMinFittingFraction)
+    return {failed_recently ? PendingReason::BackingOff : PendingReason::Placing, std::nullopt};
+  if (summary.room_on_drained) return {PendingReason::Draining, std::nullopt};
+  if (summary.provisioned_at) return {PendingReason::Booting, summary.provisioned_at};
+  if (summary.room_reserved_for_guarantees) return {PendingReason::OthersGuarantee, std::nullopt};
+  if (summary.room_in_forbidden_zone) return {PendingReason::ZoneRule, std::nullopt};
+  if (summary.room_in_short_partition) return {PendingReason::ShortPartition, std::nullopt};
+  if (summary.room_beside_long_tasks) return {PendingReason::BesideLongTasks, std::nullopt};
+  if (summary.room_taken_by_higher_rank) return {PendingReason::HigherRank, std::nullopt};
+  return {summary.has_machines ? PendingReason::Resources : PendingReason::NoMachine, std::nullopt};
 }
 }  // namespace limemast::diagnostics
--- a/src/diagnostics/capacity_diagnosis.hpp
+++ b/src/diagnostics/capacity_diagnosis.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Finds out why the machines there are do not run a job that waits.
+// Determines why the existing machines do not run a pending job.
 #include <compare>
 #include <map>
 #include <optional>
@@ -11,32 +11,35 @@
 #include "wire/settings.hpp"
 
 namespace limemast::diagnostics {
-/// Compares a job that found no machine with the machines there are. It is asked only about jobs
-/// that a scheduling decision has just passed over, and goes through the machines once a second at
-/// the most for all jobs of one shape. Not thread-safe; all calls come from the event loop.
+/// Compares a job that was not placed with the existing machines. It is called only for jobs that a
+/// scheduling decision has just skipped. All jobs of one shape share a survey of the machines,
+/// which is repeated at most once a second. Not thread-safe; all calls come from the event loop.
 class CapacityDiagnosis {
  public:
-  /// All arguments must outlive this.
+  /// All arguments must outlive the diagnosis.
   CapacityDiagnosis(const wire::Settings& settings, const cluster::JobDirectory& job_directory,
                     const machines::Registry& registry)
       : settings_(settings), job_directory_(job_directory), registry_(registry) {}
 
   struct Diagnosis {
     PendingReason reason = PendingReason::Placing;
-    std::optional<net::Time> until;  ///< when the reason is expected to end, if that is known
+    std::optional<net::Time> until;  ///< when the reason is expected to end; nullopt: unknown
   };
-  /// `waiting`: tasks that wait. Where there is room for few of them only, the reason is what keeps
-  /// the others. `zones`: how many of the job's tasks are in each zone. `failed`: it has failed on
-  /// some machine lately.
-  Diagnosis diagnose(const wire::JobSpec& spec, bool is_long, std::uint32_t waiting,
-                     const std::map<std::string, std::uint32_t>& zones, bool failed, net::Time now);
-  /// The team could not use more of its quota than it does, whatever room there is.
+  /// Returns why the job's tasks are pending. If only a small part of them fits, returns the reason
+  /// that applies to the others. `pending`: the number of pending tasks. `zones`: how many of the
+  /// job's tasks are in each zone. `failed_recently`: a task of the job recently failed on a
+  /// machine.
+  Diagnosis diagnose(const wire::JobSpec& spec, bool is_long, std::uint32_t pending,
+                     const std::map<std::string, std::uint32_t>& zones, bool failed_recently,
+                     net::Time now);
+  /// True if the team's quota does not allow another grant of tasks, whatever capacity is free.
   bool is_at_quota_limit(const wire::JobSpec& spec, net::Time now);
-  /// What each team's running tasks use, at most a second old.
+  /// The resources used by the running tasks of each team, at most a second old.
   const std::map<std::string, wire::Resources>& team_usage(net::Time now);
 
  private:
-  /// All that decides which machines may run a job's tasks: jobs of one shape share a survey.
+  /// The properties that determine which machines may run a job's tasks. Jobs with equal properties
+  /// share a survey.
   struct JobShape {
     bool spot = false;
     double cpus = 0;
@@ -49,32 +52,32 @@
     bool is_long = false;
     auto operator<=>(const JobShape&) const = default;
   };
-  /// What the machines of a zone that are of the job's types offer to jobs of one shape.
+  /// The free capacity of a zone's eligible machines for jobs of one shape.
   struct ZoneSurvey {
-    double tasks_with_room = 0;  ///< tasks for which there is room now
-    /// The same, of best-effort jobs, which must leave it to teams with a guarantee.
-    double tasks_in_guaranteed_room = 0;
-    bool room_beside_long_tasks = false;      ///< which short tasks must not use
-    bool room_reserved_for_services = false;  ///< the same
-    bool room_in_short_partition = false;     ///< which long tasks must not use
-    bool room_on_drained = false;
-    bool has_machines = false;                ///< some are there, full or not
-    bool room_below_others = false;           ///< there would be some without tasks of higher rank
-    std::optional<net::Time> provisioned_at;  ///< when the next such machine is expected
+    double fitting_tasks = 0;  ///< tasks that fit into free capacity now
+    /// The same for best-effort jobs, which must leave this capacity to teams with a guarantee.
+    double fitting_tasks_reserved_for_guarantees = 0;
+    bool room_beside_long_tasks = false;      ///< short tasks must not use it
+    bool room_reserved_for_services = false;  ///< short tasks must not use it
+    bool room_in_short_partition = false;     ///< long tasks must not use it
+    bool room_on_drained = false;             ///< no new tasks may use it
+    bool has_machines = false;                ///< there are eligible machines, full or not
+    bool room_taken_by_higher_rank = false;   ///< a task would fit without tasks of higher rank
+    std::optional<net::Time> provisioned_at;  ///< when the next eligible machine is expected
   };
   struct Survey {
-    net::Time at{};
+    net::Time taken_at{};
     std::map<std::string, ZoneSurvey> zones;
   };
-  /// The surveys of the zones where the job's rules allow another task, combined.
-  struct Offer {
-    double tasks_with_room = 0;
-    bool guaranteed_room = false;
+  /// The combined surveys of the zones in which the job's zone rules allow another task.
+  struct CapacitySummary {
+    double fitting_tasks = 0;
+    bool room_reserved_for_guarantees = false;
     bool room_in_short_partition = false;
     bool room_beside_long_tasks = false;
     bool room_on_drained = false;
-    bool room_in_forbidden_zone = false;  ///< by the job's rules about zones
-    bool room_below_others = false;
+    bool room_in_forbidden_zone = false;  ///< the job's zone rules allow no further task there
+    bool room_taken_by_higher_rank = false;
     bool has_machines = false;
     std::optional<net::Time> provisioned_at;
   };
@@ -89,11 +92,11 @@
   void add_machine_with_room(const wire::JobSpec& spec, const JobShape& shape,
                              const std::string& machine,
                              const machines::MachineStatus& machine_status, ZoneSurvey& zone) const;
-  /// The machine would have room for a task if none of higher rank ran on it.
-  bool has_room_below_others(const wire::JobSpec& spec,
-                             const machines::MachineStatus& machine_status) const;
-  static Offer combine(const Survey& survey, const wire::JobSpec& spec,
-                       const std::map<std::string, std::uint32_t>& zones);
+  /// True if a task would fit on the machine without the tasks of higher rank that run there.
+  bool fits_without_higher_rank(const wire::JobSpec& spec,
+                                const machines::MachineStatus& machine_status) const;
+  static CapacitySummary combine(const Survey& survey, const wire::JobSpec& spec,
+                                 const std::map<std::string, std::uint32_t>& zones);
 
   const wire::Settings& settings_;
   const cluster::JobDirectory& job_directory_;
--- a/src/diagnostics/order_statistic_tree.cpp
+++ b/src/diagnostics/order_statistic_tree.cpp
@@ -8,23 +8,23 @@
 
 namespace limemast::diagnostics {
 namespace {
-using Position = std::pair<QueueKey, std::string>;  ///< key and uid
-using PositionTree =
-    __gnu_pbds::tree<Position, __gnu_pbds::null_type, std::less<>, __gnu_pbds::rb_tree_tag,
+using Entry = std::pair<QueueKey, std::string>;  ///< key and uid
+using EntryTree =
+    __gnu_pbds::tree<Entry, __gnu_pbds::null_type, std::less<>, __gnu_pbds::rb_tree_tag,
                      __gnu_pbds::tree_order_statistics_node_update>;
 }  // namespace
 
 struct OrderStatisticTree::Tree {
-  PositionTree order;
-  std::unordered_map<std::string, QueueKey> keys;  ///< by uid; the same jobs as in `order`
+  EntryTree order;
+  std::unordered_map<std::string, QueueKey> keys;  ///< by uid; contains the same jobs as `order`
 };
 
 OrderStatisticTree::OrderStatisticTree() : tree_(std::make_unique<Tree>()) {}
 OrderStatisticTree::~OrderStatisticTree() = default;
 
 void OrderStatisticTree::put(const std::string& uid, const QueueKey& key) {
-  auto [it, fresh] = tree_->keys.try_emplace(uid, key);
-  if (!fresh) {
+  auto [it, added] = tree_->keys.try_emplace(uid, key);
+  if (!added) {
     if (it->second == key) return;
     tree_->order.erase({it->second, uid});
     it->second = key;
--- a/src/diagnostics/order_statistic_tree.hpp
+++ b/src/diagnostics/order_statistic_tree.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A sorted queue of jobs that knows the position of each.
+// A sorted queue of jobs with look-up of each job's position.
 #include <array>
 #include <cstdint>
 #include <memory>
@@ -7,11 +7,10 @@
 #include <string>
 
 namespace limemast::diagnostics {
-/// What a queue is ordered by, the most significant number first; the smallest key is the first in
-/// the queue.
+/// A sort key, compared lexicographically. The job with the smallest key is first in the queue.
 using QueueKey = std::array<std::int64_t, 6>;
 
-/// A queue of waiting jobs, ordered by key and, among equal keys, by uid. Each call takes time
+/// A queue of pending jobs, ordered by key and, for equal keys, by uid. Each call takes time
 /// logarithmic in the length of the queue.
 class OrderStatisticTree {
  public:
@@ -31,7 +30,7 @@
   std::size_t size() const;
 
  private:
-  struct Tree;  ///< keeps the compiler's extension that it uses out of the header
+  struct Tree;  ///< hides the GNU extension that implements it from the header
   std::unique_ptr<Tree> tree_;
 };
 }  // namespace limemast::diagnostics
--- a/src/diagnostics/pending_reason.hpp
+++ b/src/diagnostics/pending_reason.hpp
@@ -1,42 +1,42 @@
 #pragma once
-// The reasons for which jobs wait, and their names.
+// The reasons why jobs are pending, and their names.
 #include <array>
 #include <cstddef>
 #include <string>
 
 namespace limemast::diagnostics {
-/// Why a job's tasks wait. The set is closed: whatever decides about a job records one of these, so
-/// that the reason need not be guessed afterwards.
+/// Why a job's tasks are pending. Each scheduling decision that leaves tasks pending records one of
+/// these reasons.
 enum class PendingReason : unsigned char {
-  Placing,            ///< nothing prevents it; it is being assigned
-  NoMachine,          ///< no machine of its types, zone and kind, and none is being provisioned
-  Booting,            ///< such machines were launched and are not up yet
-  Resources,          ///< such machines are full of work of its own rank or below
-  HigherRank,         ///< what fills them, or what they are reserved for, ranks above it
-  ShortPartition,     ///< the only room is in the short partition, and its tasks are long
-  BesideLongTasks,    ///< the only room is beside long tasks, and its tasks are short
-  TeamLimit,          ///< its team uses all that it may
-  OthersGuarantee,    ///< room that a team without a guarantee must leave to those that have one
-  ZoneRule,           ///< there is room, but its rules about zones allow no further task there
-  BackingOff,         ///< it has failed and waits before it is retried
-  FailoverBarrier,    ///< its owner was lost; where its tasks may run is not confirmed yet
+  Placing,     ///< nothing prevents it; the tasks are being assigned
+  NoMachine,   ///< there is no machine of its types, zone and kind, and none is being provisioned
+  Booting,     ///< eligible machines were launched and are not ready yet
+  Resources,   ///< eligible machines are full of work of the same or a lower rank
+  HigherRank,  ///< eligible machines are used by, or reserved for, work of higher rank
+  ShortPartition,     ///< its tasks are long, and only machines of the short partition have room
+  BesideLongTasks,    ///< its tasks are short, and only machines with long tasks have room
+  TeamLimit,          ///< its team has reached its limit
+  OthersGuarantee,    ///< the only room must be left to teams with a guarantee
+  ZoneRule,           ///< its zone rules allow no further task in the zones with room
+  BackingOff,         ///< it failed and waits before the next attempt
+  FailoverBarrier,    ///< its owner was lost, and its running tasks are not confirmed yet
   StoreUnavailable,   ///< the key-value store does not answer its owner
-  Draining,           ///< there would be room on machines that are being drained
-  FetchingImage,      ///< all its tasks are assigned; machines fetch its image
+  Draining,           ///< only machines that are being drained have room
+  FetchingImage,      ///< all its tasks are assigned, and machines are fetching its image
   OwnerUnresponsive,  ///< the controller that owns it has not answered
 };
-/// How many reasons there are.
+/// The number of reasons.
 constexpr std::size_t kPendingReasons =
     static_cast<std::size_t>(PendingReason::OwnerUnresponsive) + 1;
-/// All of them, in the order of their values.
+/// All reasons, in the order of their values.
 constexpr std::array<PendingReason, kPendingReasons> kAllPendingReasons = [] {
   std::array<PendingReason, kPendingReasons> out{};
   for (std::size_t i = 0; i < kPendingReasons; ++i) out[i] = static_cast<PendingReason>(i);
   return out;
 }();
 
-/// The name used on the wire, in metrics and by the tools: "team_limit".
+/// The name on the wire, in metrics and in the tools, such as "team_limit".
 const char* name_of(PendingReason reason);
-/// A sentence for people, without a full stop.
+/// A short explanation for operators, without a full stop.
 const char* explain(PendingReason reason);
 }  // namespace limemast::diagnostics
--- a/src/diagnostics/pending_reason_table.cpp
+++ b/src/diagnostics/pending_reason_table.cpp
@@ -12,12 +12,12 @@
 void PendingReasonTable::record(const std::string& uid, PendingReason reason, std::uint32_t tasks,
                                 net::Time now, std::optional<net::Time> until) {
   if (!enabled_) return;
-  auto [it, fresh] = waits_.try_emplace(uid);
+  auto [it, added] = waits_.try_emplace(uid);
   auto& wait = it->second;
   wait.until = until;
-  if (!fresh && wait.reason == reason && wait.tasks == tasks) return;
-  if (!fresh) remove_from_sum(wait, now);
-  if (fresh || wait.reason != reason) wait.since = now;
+  if (!added && wait.reason == reason && wait.tasks == tasks) return;
+  if (!added) remove_from_sum(wait, now);
+  if (added || wait.reason != reason) wait.since = now;
   wait.reason = reason;
   wait.tasks = tasks;
   wait.summed_until = now;
--- a/src/diagnostics/slo_attainment.cpp
+++ b/src/diagnostics/slo_attainment.cpp
@@ -7,13 +7,15 @@
 using namespace std::chrono_literals;
 constexpr auto kSlotLength = 10s;
 constexpr std::int64_t kSlotsInWindow = 12;
-/// With less requested than these the part that was served means nothing.
+/// Below these amounts of requested work no served fraction is computed.
 constexpr double kMinTasks = 10;
 constexpr double kMinReplicaSeconds = 30;
-/// A class of which less is served is underserved, if of another at least this much is.
-constexpr double kUnderserved = 0.5;
-constexpr double kWellServed = 0.8;
-/// Users name classes as they like: further ones count together.
+/// A class whose served fraction is below the first value is underserved, if the fraction of
+/// another class is at least the second value.
+constexpr double kUnderservedBelow = 0.5;
+constexpr double kWellServedFrom = 0.8;
+/// Users choose class names freely, so the number of classes is bounded. Further classes are
+/// counted together under the name below.
 constexpr std::size_t kMaxClasses = 200;
 constexpr auto kOtherClasses = "(others)";
 
@@ -54,13 +56,14 @@
   slots_[slot][{work.workload, work.team}] += change;
 }
 
-void SloAttainment::set_counted(TrackedJob& job, const WorkCounts& share, net::WallTime now) {
-  // The seconds of replicas belong to the time in which they passed; a task is counted once.
+void SloAttainment::set_counted(TrackedJob& job, const WorkCounts& counts, net::WallTime now) {
+  // Replica seconds are counted in the current slot. Tasks stay in the slot that first counted
+  // them.
   if (!job.slot || job.work.service) job.slot = slot_at(now);
-  auto change = share;
+  auto change = counts;
   change -= job.counted;
   add(job.work, *job.slot, change);
-  job.counted = share;
+  job.counted = counts;
 }
 
 SloAttainment::TrackedJob& SloAttainment::track(const std::string& uid, const Work& work,
@@ -80,12 +83,12 @@
   auto& job = track(uid, work, now);
   if (work.service) return observe_service(job, work, running, now);
   if (now < work.due && done < work.tasks) return;
-  WorkCounts share;
-  share.requested = work.tasks;
-  share.started = started;
-  share.done = done;
-  share.done_in_time = now <= work.due + kSlotLength ? done : job.counted.done_in_time;
-  set_counted(job, share, now);
+  WorkCounts counts;
+  counts.requested = work.tasks;
+  counts.started = started;
+  counts.done = done;
+  counts.done_in_time = now <= work.due + kSlotLength ? done : job.counted.done_in_time;
+  set_counted(job, counts, now);
 }
 
 void SloAttainment::observe_service(TrackedJob& job, const Work& work, std::uint32_t running,
@@ -94,10 +97,10 @@
   job.last_observed = std::max(job.last_observed, now);
   if (now <= counted_until) return;
   const double seconds = net::to_seconds(now - counted_until).count();
-  auto share = job.counted;
-  share.replica_seconds_requested += seconds * work.tasks;
-  share.replica_seconds_running += seconds * std::min(running, work.tasks);
-  set_counted(job, share, now);
+  auto counts = job.counted;
+  counts.replica_seconds_requested += seconds * work.tasks;
+  counts.replica_seconds_running += seconds * std::min(running, work.tasks);
+  set_counted(job, counts, now);
 }
 
 void SloAttainment::job_ended(const std::string& uid, bool cancelled, net::WallTime now) {
@@ -105,16 +108,16 @@
   if (it == jobs_.end()) return;
   auto& job = it->second;
   if (!job.work.service) {
-    auto share = job.counted;
+    auto counts = job.counted;
     if (!cancelled) {
-      share.requested = share.started = share.done = job.work.tasks;
-      if (now <= job.work.due + kSlotLength) share.done_in_time = job.work.tasks;
-      set_counted(job, share, now);
+      counts.requested = counts.started = counts.done = job.work.tasks;
+      if (now <= job.work.due + kSlotLength) counts.done_in_time = job.work.tasks;
+      set_counted(job, counts, now);
     } else if (job.slot) {
-      // What its user withdrew does not count as requested.
-      share.requested = share.done;
-      share.started = std::min(share.started, share.done);
-      set_counted(job, share, now);
+      // Tasks that the user cancelled do not count as requested.
+      counts.requested = counts.done;
+      counts.started = std::min(counts.started, counts.done);
+      set_counted(job, counts, now);
     }
   }
   jobs_.erase(it);
@@ -124,10 +127,10 @@
   slots_.erase(slots_.begin(), slots_.upper_bound(slot_at(now) - kSlotsInWindow));
   for (auto* sums : {&classes_, &teams_})
     for (auto& [name, sum] : *sums) sum.window = {};
-  for (const auto& [slot, shares] : slots_)
-    for (const auto& [key, share] : shares) {
-      classes_[key.workload].window += share;
-      teams_[key.team].window += share;
+  for (const auto& [slot, counts_by_class_and_team] : slots_)
+    for (const auto& [key, counts] : counts_by_class_and_team) {
+      classes_[key.workload].window += counts;
+      teams_[key.team].window += counts;
     }
 }
 
@@ -137,8 +140,8 @@
   for (const auto& [name, sums] : classes_) {
     const auto served = sums.window.served_fraction();
     if (!served) continue;
-    if (*served < kUnderserved) out.insert(name);
-    others_are_well_served = others_are_well_served || *served >= kWellServed;
+    if (*served < kUnderservedBelow) out.insert(name);
+    others_are_well_served = others_are_well_served || *served >= kWellServedFrom;
   }
   if (!others_are_well_served) out.clear();
   return out;
--- a/tests/diagnostics/order_statistic_tree_test.cpp
+++ b/tests/diagnostics/order_statistic_tree_test.cpp
@@ -9,8 +9,9 @@
 
 namespace limemast::diagnostics {
 namespace {
-// Compared with a plain sort after every step. Keys repeat, so that ties must be broken by uid.
-TEST(OrderStatisticTree, PositionsAreThoseOfASort) {
+// Compares all positions with a sorted list after every step. Equal keys occur, so that ties must
+// be broken by uid.
+TEST(OrderStatisticTree, PositionsMatchSortedOrder) {
   std::mt19937_64 random(7);
   OrderStatisticTree queue;
   std::map<std::string, QueueKey> expected;
@@ -36,7 +37,7 @@
   }
 }
 
-TEST(OrderStatisticTree, AJobThatIsNotQueuedHasNoPosition) {
+TEST(OrderStatisticTree, UnqueuedJobHasNoPosition) {
   OrderStatisticTree queue;
   queue.put("wk-000001", QueueKey{});
   EXPECT_EQ(queue.position("wk-000002"), std::nullopt);
--- a/tests/diagnostics/pending_reason_table_test.cpp
+++ b/tests/diagnostics/pending_reason_table_test.cpp
@@ -11,7 +11,7 @@
 
 constexpr auto kJob = "wk-000001";
 
-/// What the table should hold and have summed up, in the plainest form.
+/// A straightforward model of the table's content and sums.
 struct ExpectedWaits {
   struct Wait {
     PendingReason reason;
@@ -20,7 +20,7 @@
   std::map<std::string, Wait> by_job;
   std::array<double, kPendingReasons> task_seconds{};
 
-  void pass(net::Duration time) {
+  void advance_time(net::Duration time) {
     for (const auto& [uid, wait] : by_job)
       task_seconds.at(static_cast<std::size_t>(wait.reason)) +=
           wait.tasks * net::to_seconds(time).count();
@@ -36,7 +36,7 @@
   }
 };
 
-TEST(PendingReasonTable, SumsAreThoseOfTheJobsThatWait) {
+TEST(PendingReasonTable, SumsMatchPendingJobs) {
   std::mt19937_64 random(11);
   PendingReasonTable table(true);
   ExpectedWaits expected;
@@ -44,7 +44,7 @@
   for (int step = 0; step < 3'000; ++step) {
     const auto pause = std::chrono::milliseconds(random() % 500);
     now += pause;
-    expected.pass(pause);
+    expected.advance_time(pause);
     const auto uid = "wk-" + std::to_string(random() % 40);
     if (random() % 3 == 0) {
       table.clear(uid, now);
@@ -66,7 +66,7 @@
     EXPECT_NEAR(table.sums().at(i).task_seconds, expected.task_seconds.at(i), 1e-6);
 }
 
-TEST(PendingReasonTable, AReasonKeepsItsBeginningWhileTheNumberOfTasksChanges) {
+TEST(PendingReasonTable, TaskCountChangeKeepsStartOfReason) {
   PendingReasonTable table(true);
   table.record(kJob, PendingReason::Resources, 5, net::Time(10s));
   table.record(kJob, PendingReason::Resources, 3, net::Time(20s));
@@ -75,7 +75,7 @@
   EXPECT_EQ(table.find(kJob)->since, net::Time(30s));
 }
 
-TEST(PendingReasonTable, ClearIfLeavesAJobThatWaitsForAnotherReason) {
+TEST(PendingReasonTable, ClearIfKeepsJobWithAnotherReason) {
   PendingReasonTable table(true);
   table.record(kJob, PendingReason::Draining, 3, net::Time(30s));
   table.clear_if(kJob, PendingReason::Resources, net::Time(31s));
@@ -84,7 +84,7 @@
   EXPECT_EQ(table.find(kJob), nullptr);
 }
 
-TEST(PendingReasonTable, KeepsNothingIfSwitchedOff) {
+TEST(PendingReasonTable, RecordsNothingIfDisabled) {
   PendingReasonTable table(false);
   table.record(kJob, PendingReason::Resources, 5, net::Time(10s));
   EXPECT_EQ(table.size(), 0U);
--- a/tests/diagnostics/pending_reason_test.cpp
+++ b/tests/diagnostics/pending_reason_test.cpp
@@ -6,7 +6,7 @@
 
 namespace limemast::diagnostics {
 namespace {
-TEST(PendingReason, EachHasANameAndAnExplanationOfItsOwn) {
+TEST(PendingReason, NamesAndExplanationsAreUnique) {
   std::set<std::string> names;
   std::set<std::string> explanations;
   for (const auto reason : kAllPendingReasons) {
