--- a/src/overload/admission_controller.cpp
+++ b/src/overload/admission_controller.cpp
@@ -9,15 +9,17 @@
 constexpr double kAdditiveIncrease = 0.05;
 constexpr double kMinSubmissionShare = 0.02;
 constexpr double kMinStatusQueryShare = 0.25;
-/// Status queries are rejected too once the share of submissions is below this.
+/// Status queries are also rejected when the admitted share of submissions is below this.
 constexpr double kStatusQueryThreshold = 0.1;
-/// Updates in a row with too much lag before less is admitted: a short standstill rejects nobody.
+/// Consecutive updates with excessive lag before the share first decreases, so that a short pause
+/// rejects no requests.
 constexpr unsigned kUpdatesBeforeDecrease = 8;
-/// Weight of the newest value in moving averages; they follow a change within some two seconds.
+/// The weight of the newest value in moving averages. With one update per kUpdateInterval they
+/// follow a change within about 2 s.
 constexpr double kSmoothing = 0.125;
 constexpr double kMinAdmittedPerSecond = 0.1;
 constexpr wire::Seconds kMinRetryAfter{1};
-/// Users wait no longer, whatever they are told.
+/// Users retry after this time at the latest.
 constexpr wire::Seconds kMaxRetryAfter{30};
 
 void decrease(double& share, double min_share) {
@@ -38,7 +40,7 @@
       kSmoothing * (std::exchange(demand.admitted, 0) * per_s - demand.admitted_per_s);
   demand.rejected_per_s +=
       kSmoothing * (std::exchange(demand.rejected, 0) * per_s - demand.rejected_per_s);
-  // Those wait that were rejected within the time after which they were told to retry.
+  // Requests rejected within the last `retry_after` are still waiting to be retried.
   const double waiting = demand.rejected_per_s * demand.retry_after.count();
   const auto served_within =
       wire::Seconds(waiting / std::max(demand.admitted_per_s, kMinAdmittedPerSecond));
@@ -49,12 +51,13 @@
 void AdmissionController::update_shares(net::Duration lag) {
   auto& submissions = shares_[index(RequestClass::Submission)];
   auto& status_queries = shares_[index(RequestClass::StatusQuery)];
-  updates_above_ = lag > max_lag_ ? updates_above_ + 1 : 0;
-  if (lag > max_lag_ && (updates_above_ >= kUpdatesBeforeDecrease || submissions < 1)) {
+  consecutive_lagging_updates_ = lag > max_lag_ ? consecutive_lagging_updates_ + 1 : 0;
+  if (lag > max_lag_ &&
+      (consecutive_lagging_updates_ >= kUpdatesBeforeDecrease || submissions < 1)) {
     decrease(submissions, kMinSubmissionShare);
     if (submissions < kStatusQueryThreshold) decrease(status_queries, kMinStatusQueryShare);
   } else if (lag < max_lag_ / 2) {
-    // Between half the maximum and the maximum nothing changes, which keeps it from oscillating.
+    // Between half the maximum lag and the maximum the shares stay, which prevents oscillation.
     increase(status_queries);
     if (status_queries == 1) increase(submissions);
   }
--- a/src/overload/admission_filter.cpp
+++ b/src/overload/admission_filter.cpp
@@ -9,9 +9,9 @@
 namespace {
 constexpr int kServiceUnavailable = 503;
 constexpr int kMinRetryAfterSeconds = 1;
-constexpr int kMaxRetryAfterSeconds = 30;  ///< users wait no longer, whatever they are told
-/// The time to retry is spread by this factor, so that requests rejected in one second do not all
-/// come back in one.
+constexpr int kMaxRetryAfterSeconds = 30;  ///< users retry after this time at the latest
+/// The retry time is multiplied by a random factor in this range, so that requests rejected
+/// together are not retried together.
 constexpr double kMinRetryJitter = 0.75;
 constexpr double kMaxRetryJitter = 1.25;
 }  // namespace
@@ -42,9 +42,9 @@
   rejecting_ = !rejecting_;
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(lag_.lag()).count();
   if (rejecting_)
-    spdlog::info("{} ms behind: turning away a part of what users ask", ms);
+    spdlog::info("event loop lag {} ms: rejecting part of the user requests", ms);
   else
-    spdlog::info("no longer behind: taking all that users ask, {} turned away meanwhile",
+    spdlog::info("event loop lag recovered: accepting all user requests, {} were rejected",
                  rejected_);
   rejected_ = 0;
 }
--- a/src/overload/admission_filter.hpp
+++ b/src/overload/admission_filter.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Rejects users' requests that an overloaded controller does not admit.
+// Rejects user requests while the controller is overloaded.
 #include <optional>
 
 #include "overload/admission_controller.hpp"
@@ -7,17 +7,17 @@
 #include "wire/settings.hpp"
 
 namespace limemast::overload {
-/// Measures the lag of the event loop and rejects at once what the admission controller does not
-/// admit. Not thread-safe; all calls come from the event loop.
+/// Measures the lag of the event loop and rejects the requests that the admission controller does
+/// not admit. Not thread-safe; all calls come from the event loop.
 class AdmissionFilter {
  public:
   /// Both arguments must outlive the filter.
   AdmissionFilter(net::Runtime& runtime, const wire::Settings& settings)
       : runtime_(runtime), admission_controller_(net::to_duration(settings.overload.lag)) {}
-  /// Begins to measure; to be called once.
+  /// Starts the periodic measurement. To be called once.
   void start();
-  /// The response to a request that is rejected: 503 with the time to retry. nullopt if the request
-  /// is admitted.
+  /// Decides whether a request is admitted. Returns nullopt if it is, otherwise the response to it:
+  /// 503 with the time after which to retry.
   std::optional<net::HttpResponse> rejection(RequestClass request_class);
   const AdmissionController& admission_controller() const { return admission_controller_; }
   net::Duration lag() const { return lag_.lag(); }
@@ -31,7 +31,7 @@
   net::Runtime& runtime_;
   EventLoopLag lag_;
   AdmissionController admission_controller_;
-  bool rejecting_ = false;      ///< as last logged
-  std::uint64_t rejected_ = 0;  ///< since then
+  bool rejecting_ = false;      ///< the state that was last logged
+  std::uint64_t rejected_ = 0;  ///< requests rejected since then
 };
 }  // namespace limemast::overload
--- a/src/overload/event_loop_lag.hpp
+++ b/src/overload/event_loop_lag.hpp
@@ -1,17 +1,17 @@
 #pragma once
-// Measures how far the event loop is behind.
+// Measures the lag of the event loop.
 #include "net/runtime.hpp"
 
 namespace limemast::overload {
-/// The lag of this controller's event loop: its timers fire that late, and what has come in waits
-/// unread for about as long. Measured by a periodic timer. A peak counts at once and decays
-/// exponentially.
+/// The delay with which this controller's event loop fires timers; received data waits about as
+/// long before it is read. It is measured with a periodic timer. A peak counts at once and then
+/// decays exponentially.
 class EventLoopLag {
  public:
-  /// Between the timers by which the lag is measured.
+  /// The interval between the timers that measure the lag.
   static constexpr auto kProbeInterval = std::chrono::milliseconds(100);
 
-  /// The timer that was due at `due` fired at `now`.
+  /// Records that the timer due at `due` fired at `now`.
   void on_timer(net::Time due, net::Time now) {
     const auto late = std::max(now - due, net::Duration::zero());
     lag_ = std::max(late, lag_ - lag_ / kDecayDivisor);
@@ -19,7 +19,7 @@
   net::Duration lag() const { return lag_; }
 
  private:
-  /// With each timer a peak loses this part of itself: half of it within 0.6 s.
+  /// With each timer the lag decays by 1/kDecayDivisor, which halves a peak within 0.6 s.
   static constexpr int kDecayDivisor = 8;
   net::Duration lag_{};
 };
--- a/src/overload/load_rebalancer.cpp
+++ b/src/overload/load_rebalancer.cpp
@@ -5,19 +5,21 @@
 
 namespace limemast::overload {
 namespace {
-/// By how much the load must exceed the lowest one for moving to begin, and to go on.
+/// Moving starts when the own load exceeds the lowest load by the first value, and stops when it no
+/// longer exceeds it by the second.
 constexpr double kStartThreshold = 0.2;
 constexpr double kStopThreshold = 0.07;
-/// A controller below this load has time enough.
+/// A controller with a lower load does not start moving machines.
 constexpr double kMinLoad = 0.4;
-/// With fewer machines one is too coarse a step: in small deployments all stay.
+/// With fewer attached machines none is moved, because a single move would change the load too
+/// much.
 constexpr std::size_t kMinMachines = 100;
-/// Imbalanced updates in a row before the first move: a short burst moves no machine.
+/// Consecutive imbalanced updates before the first move, so that a short burst moves no machine.
 constexpr unsigned kUpdatesBeforeMove = 5;
-/// Of the machines attached here, moved per second.
+/// The fraction of the attached machines that is moved per second.
 constexpr double kMovedSharePerSecond = 0.01;
 constexpr std::size_t kMaxMovedPerSecond = 5;
-/// Weight of the newest load in the moving average.
+/// The weight of the newest load in the moving average.
 constexpr double kSmoothing = 0.2;
 
 bool less_loaded(const std::pair<const cluster::ControllerId, double>& a,
@@ -28,7 +30,7 @@
 
 void LoadRebalancer::update(const cluster::ControllerId& self,
                             const std::map<cluster::ControllerId, double>& loads,
-                            std::size_t machines_here) {
+                            std::size_t attached_machines) {
   remaining_moves_ = 0;
   smooth(loads);
   const auto own = smoothed_loads_.find(self);
@@ -36,11 +38,11 @@
   const auto least = std::min_element(smoothed_loads_.begin(), smoothed_loads_.end(), less_loaded);
   const auto most = std::max_element(smoothed_loads_.begin(), smoothed_loads_.end(), less_loaded);
   moving_ =
-      should_move(own->second, own->second - least->second, most->first == self, machines_here);
+      should_move(own->second, own->second - least->second, most->first == self, attached_machines);
   if (!moving_) return;
   target_ = least->first;
   const auto machines_to_move =
-      std::ceil(kMovedSharePerSecond * static_cast<double>(machines_here));
+      std::ceil(kMovedSharePerSecond * static_cast<double>(attached_machines));
   remaining_moves_ = std::min(kMaxMovedPerSecond, static_cast<std::size_t>(machines_to_move));
 }
 
@@ -54,17 +56,17 @@
 
 void LoadRebalancer::stop() {
   moving_ = false;
-  imbalanced_updates_ = 0;
+  consecutive_imbalanced_updates_ = 0;
 }
 
 bool LoadRebalancer::should_move(double own_load, double excess, bool is_most_loaded,
-                                 std::size_t machines_here) {
-  // Only the most loaded controller moves machines: two at once would overshoot.
-  const bool may_move = machines_here >= kMinMachines && is_most_loaded;
+                                 std::size_t attached_machines) {
+  // Only the most loaded controller moves machines, because two at once would overshoot.
+  const bool may_move = attached_machines >= kMinMachines && is_most_loaded;
   const bool imbalanced = may_move && excess > kStartThreshold && own_load > kMinLoad;
-  imbalanced_updates_ = imbalanced ? imbalanced_updates_ + 1 : 0;
+  consecutive_imbalanced_updates_ = imbalanced ? consecutive_imbalanced_updates_ + 1 : 0;
   if (moving_) return may_move && excess > kStopThreshold;
-  return imbalanced_updates_ >= kUpdatesBeforeMove;
+  return consecutive_imbalanced_updates_ >= kUpdatesBeforeMove;
 }
 
 cluster::ControllerId LoadRebalancer::next_target() {
--- a/tests/overload/admission_controller_test.cpp
+++ b/tests/overload/admission_controller_test.cpp
@@ -10,16 +10,15 @@
 namespace {
 using namespace std::chrono_literals;
 
-/// A controller that can do a certain amount of work in a second. What it has not done makes it
-/// lag.
+/// The load of a controller with a fixed capacity per second. Unfinished work becomes lag.
 struct Overload {
-  double submissions;    ///< offered, as a multiple of what it can do
-  double critical_load;  ///< the part of its time that goes to what is never rejected
+  double submissions;    ///< offered load, as a multiple of the controller's capacity
+  double critical_load;  ///< the fraction of its time spent on requests that are never rejected
 };
 
 class AdmissionUnderLoad : public testing::TestWithParam<Overload> {};
 
-TEST_P(AdmissionUnderLoad, AdmitsTheShareThatKeepsUpAndAllOnceTheLoadIsGone) {
+TEST_P(AdmissionUnderLoad, AdmitsSustainableShareAndRecoversAfterOverload) {
   const auto [submissions, critical_load] = GetParam();
   AdmissionController controller(500ms);
   double backlog_s = 0;
@@ -55,8 +54,8 @@
                          testing::Values(Overload{0.3, 0.5}, Overload{1, 0.3}, Overload{2, 0.5},
                                          Overload{4, 0.6}, Overload{3, 0.2}));
 
-// A controller that has paused, or has just started, lags for about a second.
-TEST(AdmissionController, AShortLagRejectsNobody) {
+// A controller that was paused, or has just started, lags for about a second.
+TEST(AdmissionController, ShortLagRejectsNoRequests) {
   AdmissionController controller(200ms);
   for (int update = 0; update < 100; ++update) {
     controller.update(update % 12 < 5 ? 800ms : 10ms);
@@ -64,15 +63,15 @@
   }
 }
 
-TEST(AdmissionController, AdmitsEverythingIfSwitchedOff) {
+TEST(AdmissionController, AdmitsEverythingIfDisabled) {
   AdmissionController controller(0s);
   for (int update = 0; update < 600; ++update) controller.update(100s);
   EXPECT_TRUE(controller.admits(RequestClass::Submission, 0.999));
 }
 
-// Ten users come each second while hardly one is admitted, and each retries when it was told to. If
-// all were told one second, some 1,100 would retry each second.
-TEST(AdmissionController, RetryAfterSpreadsRejectedRequestsOverTheTimeNeededToServeThem) {
+// Ten new users arrive each second while almost none is admitted, and each retries after the given
+// time. With a fixed retry time of one second about 1,100 would retry each second.
+TEST(AdmissionController, RetryAfterSpreadsRetriesOverTimeNeededToServeThem) {
   AdmissionController controller(500ms);
   EXPECT_EQ(controller.retry_after(RequestClass::Submission), 1s);
   constexpr int kOverloadedSteps = 480;
--- a/tests/overload/event_loop_lag_test.cpp
+++ b/tests/overload/event_loop_lag_test.cpp
@@ -6,7 +6,7 @@
 namespace {
 using namespace std::chrono_literals;
 
-TEST(EventLoopLag, APeakCountsAtOnceAndDecaysByHalfWithinSixTimers) {
+TEST(EventLoopLag, PeakCountsAtOnceAndHalvesWithinSixTimers) {
   EventLoopLag lag;
   const net::Time due{};
   lag.on_timer(due, due + 2s);
@@ -16,7 +16,7 @@
   EXPECT_LE(timers, 6);
 }
 
-TEST(EventLoopLag, ATimerThatFiresBeforeItIsDueIsNoLag) {
+TEST(EventLoopLag, EarlyTimerAddsNoLag) {
   EventLoopLag lag;
   const net::Time now{};
   lag.on_timer(now, now + 1s);
--- a/tests/overload/load_rebalancer_test.cpp
+++ b/tests/overload/load_rebalancer_test.cpp
@@ -10,12 +10,12 @@
 namespace {
 constexpr std::size_t kControllers = 3;
 
-/// Three controllers whose event loops are busy with their machines and with other work.
+/// Three controllers whose event loops serve their machines and do other work.
 struct Deployment {
   std::array<double, kControllers> other_load;  ///< such as the leader's work
   std::array<std::size_t, kControllers> machines;
   double load_per_machine;
-  double noise;  ///< of the measured loads
+  double noise;  ///< amplitude of the noise in the measured loads
 
   double load(std::size_t controller) const {
     return other_load.at(controller) +
@@ -29,7 +29,7 @@
 
 class RebalancedDeployment : public testing::TestWithParam<Deployment> {};
 
-TEST_P(RebalancedDeployment, BecomesNearlyEvenWithFewMovesAndThenRests) {
+TEST_P(RebalancedDeployment, ReachesNearBalanceWithFewMovesThenStops) {
   auto deployment = GetParam();
   const double initial_imbalance = deployment.imbalance();
   std::array<LoadRebalancer, kControllers> rebalancers;
