--- a/src/diagnostics/pending_reason.cpp
+++ b/src/diagnostics/pending_reason.cpp
@@ -25,15 +25,15 @@
       return "zone_rule";
     case PendingReason::BackingOff:
       return "backing_off";
-    case PendingReason::Takeover:
+    case PendingReason::FailoverBarrier:
       return "takeover";
-    case PendingReason::StateAway:
+    case PendingReason::StoreUnavailable:
       return "state_away";
-    case PendingReason::Drain:
+    case PendingReason::Draining:
       return "drain";
-    case PendingReason::Image:
+    case PendingReason::FetchingImage:
       return "image";
-    case PendingReason::OwnerSilent:
+    case PendingReason::OwnerUnresponsive:
       return "owner_silent";
   }
   return "";
@@ -42,7 +42,7 @@
 const char* explain(PendingReason reason) {
   switch (reason) {
     case PendingReason::Placing:
-      return "being handed out";
+      return "its tasks are being assigned";
     case PendingReason::NoMachine:
       return "no machine of its types, zone and kind";
     case PendingReason::Booting:
@@ -50,28 +50,28 @@
     case PendingReason::Resources:
       return "machines it may use are full";
     case PendingReason::HigherRank:
-      return "behind work of higher rank";
+      return "machines are taken by work of higher rank";
     case PendingReason::ShortPartition:
       return "machines with room are kept for short jobs";
     case PendingReason::BesideLongTasks:
-      return "the only room is beside long tasks, which short ones shun";
+      return "the only machines with room run long tasks, which short tasks avoid";
     case PendingReason::TeamLimit:
       return "its team uses all that it may";
     case PendingReason::OthersGuarantee:
       return "room is left to teams with a guarantee";
     case PendingReason::ZoneRule:
-      return "its rule about zones allows none with room";
+      return "its zone rule allows no zone with room";
     case PendingReason::BackingOff:
-      return "pauses after failures";
-    case PendingReason::Takeover:
-      return "held until a lost controller's tasks are accounted for";
-    case PendingReason::StateAway:
+      return "waits before it is retried after failures";
+    case PendingReason::FailoverBarrier:
+      return "waits until a lost controller's tasks are confirmed";
+    case PendingReason::StoreUnavailable:
       return "the state service does not answer";
-    case PendingReason::Drain:
+    case PendingReason::Draining:
       return "machines with room are being drained";
-    case PendingReason::Image:
+    case PendingReason::FetchingImage:
       return "machines fetch its image";
-    case PendingReason::OwnerSilent:
+    case PendingReason::OwnerUnresponsive:
       return "the controller that owns it does not answer";
   }
   return "";
--- a/src/jobs/pending_reason_recorder.hpp
+++ b/src/jobs/pending_reason_recorder.hpp
@@ -19,7 +19,7 @@
   /// Enters why the job's tasks are still pending after a scheduling decision.
   void record(const Job& job);
   /// Whether the table is in use.
-  bool enabled() const { return pending_reasons_.on(); }
+  bool enabled() const { return pending_reasons_.enabled(); }
 
  private:
   /// Used when all tasks are assigned: those that do not run yet wait for their image.
--- a/src/jobs/slo_monitor.cpp
+++ b/src/jobs/slo_monitor.cpp
@@ -53,7 +53,7 @@
   if (!slo_attainment_.tracks(uid)) return;
   // If this controller does not know the final phase, it infers from the remaining work whether the
   // job was cancelled.
-  const auto phase = status_reader_.final_of(uid);
+  const auto phase = status_reader_.final_phase_of(uid);
   const bool left_undone = job.spec.service || job.unfinished.value_or(job.spec.tasks) > 0;
   const bool cancelled = phase ? *phase == Phase::Cancelled : left_undone;
   slo_attainment_.job_ended(uid, cancelled, now);
@@ -102,7 +102,7 @@
 void SloMonitor::warn_about_underserved() {
   const auto now = runtime_.now();
   for (const auto& [name, sums] : slo_attainment_.classes()) {
-    const auto served = sums.window.served();
+    const auto served = sums.window.served_fraction();
     if (!served) continue;
     if (*served >= kWarningThreshold) {
       if (warned_at_.erase(name) > 0)
@@ -116,7 +116,7 @@
       spdlog::warn(
           "class {} is underserved: fraction {:.2f} of its recent demand is served, {:.2f} since "
           "this controller became leader; main reason of its pending tasks: {}, epoch {}",
-          name, *served, sums.total.served().value_or(1), main_pending_reason(name),
+          name, *served, sums.total.served_fraction().value_or(1), main_pending_reason(name),
           membership_.epoch().number);
   }
 }
@@ -128,7 +128,7 @@
   if (const auto* wait = pending_reasons_.find(uid)) return wait->reason;
   const auto zones = own ? own->zones : std::map<std::string, std::uint32_t>();
   return capacity_diagnosis_
-      .judge(active.spec, active.is_long, pending, zones, false, runtime_.now())
+      .diagnose(active.spec, active.is_long, pending, zones, false, runtime_.now())
       .reason;
 }
 
--- a/tests/diagnostics/order_statistic_tree_test.cpp
+++ b/tests/diagnostics/order_statistic_tree_test.cpp
@@ -9,8 +9,9 @@
 
 namespace limemast::diagnostics {
 namespace {
-// Compared with a plain sort after every step. Keys repeat, so that ties must be broken by uid.
-TEST(OrderStatisticTree, PositionsAreThoseOfASort) {
+// Compares all positions with a sorted list after every step. Equal keys occur, so that ties must
+// be broken by uid.
+TEST(OrderStatisticTree, PositionsMatchSortedOrder) {
   std::mt19937_64 random(7);
   OrderStatisticTree queue;
   std::map<std::string, QueueKey> expected;
@@ -31,14 +32,15 @@
     sorted.reserve(expected.size());
     for (const auto& [job, key] : expected) sorted.emplace_back(key, job);
     std::sort(sorted.begin(), sorted.end());
-    for (std::size_t i = 0; i < sorted.size(); ++i) ASSERT_EQ(queue.place(sorted[i].second), i + 1);
+    for (std::size_t i = 0; i < sorted.size(); ++i)
+      ASSERT_EQ(queue.position(sorted[i].second), i + 1);
   }
 }
 
-TEST(OrderStatisticTree, AJobThatIsNotQueuedHasNoPosition) {
+TEST(OrderStatisticTree, UnqueuedJobHasNoPosition) {
   OrderStatisticTree queue;
   queue.put("wk-000001", QueueKey{});
-  EXPECT_EQ(queue.place("wk-000002"), std::nullopt);
+  EXPECT_EQ(queue.position("wk-000002"), std::nullopt);
 }
 }  // namespace
 }  // namespace limemast::diagnostics
