--- a/src/app/controller_instance.cpp
+++ b/src/app/controller_instance.cpp
@@ -74,7 +74,8 @@
 void ControllerInstance::start() {
   membership_.start({[this] { on_epoch_changed(); }, lost_});
   watch_cache_.start([this](const std::vector<store::Change>& changes) { on_changes(changes); });
-  autoscaler_.start([this](auto machines) { worker_gateway_.adopt_unheard(machines); });
+  autoscaler_.start(
+      [this](auto machines) { worker_gateway_.adopt_machines_without_heartbeat(machines); });
   operator_api_.start();
   member_eviction_.start();
   admission_filter_.start();
@@ -104,12 +105,12 @@
                              : cluster::read_machines(watch_cache_.find(c.key)->value);
       if (!named) {
         client_.decode_errors().record(c.key);
-        registry_.set_unreadable(c.key, membership_.epoch().number);
+        registry_.mark_record_unreadable(c.key, membership_.epoch().number);
         job_owner_.on_registrations_changed();
         continue;
       }
-      for (const auto& machine :
-           registry_.set_record(c.key, std::move(*named), membership_.epoch().number)) {
+      for (const auto& machine : registry_.apply_registration_record(c.key, std::move(*named),
+                                                                     membership_.epoch().number)) {
         worker_gateway_.on_machine_removed(machine);
         job_owner_.on_machine_removed(machine);
         registry_.remove(machine);
@@ -212,7 +213,7 @@
     // Refused by the state service while others are served, this controller can accept nothing:
     // users go to those. In an outage for all it stays ready, as it takes seconds to count as
     // healthy again.
-    const bool refused = !membership_.store_available() && worker_gateway_.others_reach_store();
+    const bool refused = !membership_.store_available() && worker_gateway_.any_peer_reaches_store();
     const bool good = ready() && !refused;
     return respond({good ? 200 : 503, good ? "{}" : R"({"error":"not ready"})", 0, {}});
   }
--- a/src/cloud/autoscaler.cpp
+++ b/src/cloud/autoscaler.cpp
@@ -57,7 +57,7 @@
 }
 
 void Autoscaler::tick() {
-  registry_.detect_clock_jump(runtime_.now());
+  registry_.detect_process_suspension(runtime_.now());
   if (membership_.is_leader() && has_led_) lead();
   runtime_.after(kUpdateInterval, [this] { tick(); });
 }
@@ -83,7 +83,7 @@
 }
 
 bool Autoscaler::knows_all_launches() const {
-  const bool had_predecessor = !registry_.all_registered().empty() ||
+  const bool had_predecessor = !registry_.registrations().empty() ||
                                membership_.leader_since_epoch() > membership_.epoch().number;
   // The listing must have caught up with what the last leader launched.
   return !had_predecessor || runtime_.now() - leading_since_ > net::to_duration(settings_.list_lag);
--- a/src/cloud/failover_barrier_monitor.cpp
+++ b/src/cloud/failover_barrier_monitor.cpp
@@ -32,7 +32,7 @@
   const auto epoch = job_owner_.failover_barrier_epoch();
   // Heartbeats that another controller receives are known here only while it can be reached.
   if (epoch == ids::kNoEpoch ||
-      now - registry_.connected_since() < net::to_duration(settings_.heartbeat_interval)) {
+      now - registry_.peers_connected_since() < net::to_duration(settings_.heartbeat_interval)) {
     failover_barrier_.reset();
     return;
   }
@@ -50,7 +50,7 @@
 std::vector<failover::UnconfirmedMachine> FailoverBarrierMonitor::unconfirmed_machines(
     ids::EpochNumber epoch) const {
   std::vector<failover::UnconfirmedMachine> out;
-  for (const auto& [name, registered] : registry_.all_registered()) {
+  for (const auto& [name, registered] : registry_.registrations()) {
     if (job_owner_.machine_confirmed(name, epoch) || inventory_.is_terminated(name) ||
         machines::Registry::is_record_placeholder(name))
       continue;
@@ -64,7 +64,7 @@
 
 std::map<std::string, std::size_t> FailoverBarrierMonitor::registered_by_zone() const {
   std::map<std::string, std::size_t> out;
-  for (const auto& [name, registered] : registry_.all_registered()) ++out[inventory_.zone_of(name)];
+  for (const auto& [name, registered] : registry_.registrations()) ++out[inventory_.zone_of(name)];
   return out;
 }
 
@@ -75,6 +75,6 @@
   const auto silent = std::count_if(unconfirmed.begin(), unconfirmed.end(),
                                     [](const auto& machine) { return machine.silent; });
   spdlog::info("failover barrier: waiting for {} of {} machines, {} silent, epoch {}",
-               unconfirmed.size(), registry_.all_registered().size(), silent, epoch);
+               unconfirmed.size(), registry_.registrations().size(), silent, epoch);
 }
 }  // namespace limemast::cloud
--- a/src/cloud/machine_deregistration.cpp
+++ b/src/cloud/machine_deregistration.cpp
@@ -39,7 +39,7 @@
 
 void MachineDeregistration::update_pending(net::Time leading_since) {
   // A machine may have been registered only after it was terminated.
-  for (const auto& [name, registered] : registry_.all_registered())
+  for (const auto& [name, registered] : registry_.registrations())
     if (inventory_.is_terminated(name) || registry_.removed(name) ||
         is_placeholder_obsolete(name, leading_since))
       pending_.insert(name);
@@ -57,7 +57,7 @@
                            net::to_duration(settings_.worker_lease * wire::kClockDriftFactor) +
                            kPlaceholderMargin;
   const auto since =
-      std::max({leading_since, membership_.last_member_loss(), registry_.connected_since()});
+      std::max({leading_since, membership_.last_member_loss(), registry_.peers_connected_since()});
   const auto& statuses = registry_.machine_statuses();
   return runtime_.now() - since > both_leases &&
          std::all_of(statuses.begin(), statuses.end(),
--- a/src/cloud/machine_health_monitor.cpp
+++ b/src/cloud/machine_health_monitor.cpp
@@ -74,7 +74,7 @@
   inventory_.apply_heartbeat(status, runtime_.now());
   // Silent for a whole lease: its tasks have ended or it is gone, which its termination proves.
   // Heartbeats that another controller receives count only while that controller can be reached.
-  const auto heard_until = std::max(status.last_heartbeat, registry_.connected_since());
+  const auto heard_until = std::max(status.last_heartbeat, registry_.peers_connected_since());
   if (runtime_.now() - heard_until > silence_limit(status.heartbeat.zone))
     inventory_.mark_for_termination(machine);
   record_exits(status);
@@ -104,7 +104,8 @@
   if (registry_.find(name)) return;
   const auto now = runtime_.now();
   if (registry_.registered(name)) {
-    const auto silent_since = std::max({machine.since, leading_since, registry_.connected_since()});
+    const auto silent_since =
+        std::max({machine.since, leading_since, registry_.peers_connected_since()});
     if (now - silent_since > silence_limit(machine.zone) + kUnseenMargin)
       inventory_.mark_for_termination(name);
     return;
--- a/src/cloud/machine_inventory.cpp
+++ b/src/cloud/machine_inventory.cpp
@@ -58,7 +58,7 @@
 }
 
 void MachineInventory::on_leadership(net::Time now) {
-  for (const auto& [name, registered] : registry_.all_registered())
+  for (const auto& [name, registered] : registry_.registrations())
     if (!machines::Registry::is_record_placeholder(name)) machines_[name].since = now;
 }
 
@@ -109,7 +109,7 @@
 }
 
 void MachineInventory::apply_registrations(net::Time now) {
-  for (const auto& [name, registered] : registry_.all_registered()) {
+  for (const auto& [name, registered] : registry_.registrations()) {
     if (is_terminated(name) || machines::Registry::is_record_placeholder(name)) continue;
     if (const auto [it, is_new] = machines_.try_emplace(name); is_new) it->second.since = now;
   }
--- a/src/diagnostics/capacity_diagnosis.cpp
+++ b/src/diagnostics/capacity_diagnosis.cpp
@@ -141,7 +141,7 @@
   used_at_ = now;
   used_.clear();
   for (const auto& [uid, job] : job_directory_.all())
-    if (const double tasks = registry_.running(uid); tasks > 0 && job.spec_known)
+    if (const double tasks = registry_.running_tasks(uid); tasks > 0 && job.spec_known)
       used_[job.spec.team] +=
           {tasks * job.spec.cpus, tasks * job.spec.ram_gb, tasks * job.spec.accelerators};
   return used_;
--- a/src/jobs/failover_barrier_state.cpp
+++ b/src/jobs/failover_barrier_state.cpp
@@ -20,7 +20,7 @@
   if (least_confirmed_) return *least_confirmed_;
   constexpr ids::FencingToken kHighest(std::numeric_limits<std::uint64_t>::max());
   LeastConfirmed least{kHighest, kHighest};
-  for (const auto& [name, registered] : registry_.all_registered()) {
+  for (const auto& [name, registered] : registry_.registrations()) {
     const auto it = confirmed_.find(name);
     const auto shown = it == confirmed_.end() ? ids::kNoToken : it->second;
     // Nobody commands a machine before it is registered: one that was registered since the
@@ -41,8 +41,8 @@
 }
 
 bool FailoverBarrierState::confirmed_by(const std::string& machine, ids::EpochNumber epoch) const {
-  const auto registered = registry_.all_registered().find(machine);
-  if (registered != registry_.all_registered().end() && registered->second.epoch >= epoch)
+  const auto registered = registry_.registrations().find(machine);
+  if (registered != registry_.registrations().end() && registered->second.epoch >= epoch)
     return true;
   const auto it = confirmed_.find(machine);
   return it != confirmed_.end() && it->second >= ids::FencingToken::base(epoch);
--- a/src/jobs/heartbeat_reconciler.cpp
+++ b/src/jobs/heartbeat_reconciler.cpp
@@ -121,7 +121,8 @@
 
 void HeartbeatReconciler::clear_image_wait(const Job& job) {
   const auto& spec = job.record.spec;
-  if (pending_reasons_.on() && registry_.running(spec.uid) + job.completed_tasks >= spec.tasks)
+  if (pending_reasons_.on() &&
+      registry_.running_tasks(spec.uid) + job.completed_tasks >= spec.tasks)
     pending_reasons_.clear_if(spec.uid, diagnostics::PendingReason::Image, runtime_.now());
 }
 
@@ -190,7 +191,7 @@
   assignment.attempt = task.attempt;
   assignment.confirmed = heartbeat.fencing_token >= barrier_token;
   assignment.confirmed_sequence = heartbeat.sequence;
-  assignment.void_from_token = barrier_token;
+  assignment.min_resolving_token = barrier_token;
   assignment.running = task.runs();
   assignment.running_since = runtime_.now();
   spdlog::debug("job {} task {} found on {}, epoch {}", task.uid, task.index, heartbeat.machine,
@@ -226,7 +227,7 @@
   spdlog::debug(
       "job {} task {} released from {} (confirmed {}, sequence {}, void from {}), epoch {}",
       job.record.spec.uid, index, released->machine, released->confirmed,
-      released->confirmed_sequence, released->void_from_token, membership_.epoch().number);
+      released->confirmed_sequence, released->min_resolving_token, membership_.epoch().number);
   auto observations = job.conflicting_observations.extract(index);
   if (requeue == Requeue::No) return;
   if (!observations.empty() &&
@@ -302,10 +303,10 @@
   const auto token = ids::FencingToken::base(membership_.epoch().number);
   for (const auto& [uid, job] : owned_jobs_.all())
     for (auto& [index, assignment] : job->assignments) {
-      if (assignment.confirmed || assignment.void_from_token != ids::kNoToken ||
+      if (assignment.confirmed || assignment.min_resolving_token != ids::kNoToken ||
           membership_.is_member(assignment.deliverer))
         continue;
-      assignment.void_from_token = token;
+      assignment.min_resolving_token = token;
       // Its machine may have shown the new epoch to another controller before we learned of it.
       to_reread_.insert(assignment.machine);
     }
--- a/src/jobs/long_task_map_publisher.cpp
+++ b/src/jobs/long_task_map_publisher.cpp
@@ -97,7 +97,7 @@
   map.epoch = membership_.epoch().number;
   map.serial = ++serial_;
   const auto& last_partition = registry_.long_task_map().short_partition;
-  std::vector<scheduling::PartCandidate> candidates;
+  std::vector<scheduling::PartitionCandidate> candidates;
   for (const auto& [name, machine_status] : registry_.machine_statuses()) {
     if (!machine_status.registered) continue;
     const bool has_long =
@@ -119,7 +119,7 @@
   messages::LongTaskMapUpdate message;
   message.version = {map.epoch, map.serial};
   message.groups = {map.with_long_tasks, map.short_partition, map.reserved_for_services};
-  message.cordoned = registry_.all_cordoned();
+  message.cordoned = registry_.cordoned_machines();
   message.underserved_classes = registry_.underserved_classes();
   if (pending_reasons_.on())
     message.provisioning = to_entries(registry_.provisioning(), runtime_.now());
--- a/src/jobs/long_task_placement.cpp
+++ b/src/jobs/long_task_placement.cpp
@@ -56,7 +56,8 @@
     candidates.push_back(candidate_of(*slot, need, image_fetch_time(registry_, *slot, spec)));
     candidate_slots.push_back(slot);
   }
-  const auto best = scheduling::choose(candidates, start_delay_tolerance(settings_, spec.workload));
+  const auto best =
+      scheduling::choose_machine(candidates, start_delay_tolerance(settings_, spec.workload));
   if (!best) return false;
   auto& chosen = *candidate_slots[*best];
   if (!job_owner_.place(spec.uid, chosen.machine_status->heartbeat.machine)) return false;
--- a/src/jobs/long_task_scheduler.cpp
+++ b/src/jobs/long_task_scheduler.cpp
@@ -119,7 +119,7 @@
   const auto& jobs = job_directory_.all();
   return std::any_of(jobs.begin(), jobs.end(), [&](const auto& entry) {
     const auto& [uid, job] = entry;
-    return !job.ended && settings_.yields(job.spec) && registry_.running(uid) > 0;
+    return !job.ended && settings_.yields(job.spec) && registry_.running_tasks(uid) > 0;
   });
 }
 
--- a/src/jobs/orphaned_usage.cpp
+++ b/src/jobs/orphaned_usage.cpp
@@ -44,7 +44,7 @@
   const auto may_be_orphaned = [&](const std::string& uid) {
     return !has_living_owner(job_directory.find(uid), membership);
   };
-  if (!registry.any_on_machines(may_be_orphaned)) return usage;
+  if (!registry.any_job_with_live_tasks(may_be_orphaned)) return usage;
   for (const auto& [name, machine_status] : registry.machine_statuses()) {
     bool any_unknown = false;
     for (const auto& task : machine_status.heartbeat.tasks) {
--- a/src/jobs/pending_reason_recorder.cpp
+++ b/src/jobs/pending_reason_recorder.cpp
@@ -40,7 +40,7 @@
 void PendingReasonRecorder::record_starting(const Job& job) {
   const auto& spec = job.record.spec;
   const auto now = runtime_.now();
-  const auto started = registry_.running(spec.uid) + job.completed_tasks;
+  const auto started = registry_.running_tasks(spec.uid) + job.completed_tasks;
   if (started >= spec.tasks)
     pending_reasons_.clear(spec.uid, now);
   else
--- a/src/jobs/prober.cpp
+++ b/src/jobs/prober.cpp
@@ -19,7 +19,7 @@
 /// And for this long before it is probed beside long tasks, and where capacity is reserved for
 /// services: no job may wait 90 s where there is room.
 constexpr auto kWidenAnywhereAfter = 60s;
-/// Stages of a redraw; the last is machines::kLastResort.
+/// Stages of a redraw; the last is machines::kLastResortStage.
 constexpr int kFirstDraw = 0;
 constexpr int kByMap = 1;
 constexpr int kShortPartition = 2;
@@ -32,7 +32,7 @@
                                               registry_.machine_statuses().size());
   const auto now = runtime_.now();
   if (probing.machines.size() >= target || now < probing.redraw_after) return;
-  const auto& candidates = candidates_.of(job.record.spec, now);
+  const auto& candidates = candidates_.matching(job.record.spec, now);
   if (probing.exhausted_candidates_version == candidates.version) return;
   if (std::exchange(probing.first_sent, true)) {
     if (redraw(job, target - probing.machines.size(), kFirstDraw) > 0)
@@ -43,15 +43,16 @@
   // The first probes are drawn from all machines whatever the map says: it may be old (Eagle,
   // section 3.3).
   auto machines = candidates.machines;
-  std::erase_if(machines, [&](ids::DenseId machine) { return !candidates_.open(machine); });
-  send(job, scheduling::draw(std::move(machines), target, runtime_.random()), kFirstDraw);
+  std::erase_if(machines,
+                [&](ids::DenseId machine) { return !candidates_.accepts_tasks(machine); });
+  send(job, scheduling::random_sample(std::move(machines), target, runtime_.random()), kFirstDraw);
 }
 
 std::size_t Prober::redraw(Job& job, std::size_t count, int stage) {
-  const auto& candidates = candidates_.of(job.record.spec, runtime_.now());
-  while (count > 0 && ++stage <= machines::kLastResort) {
+  const auto& candidates = candidates_.matching(job.record.spec, runtime_.now());
+  while (count > 0 && ++stage <= machines::kLastResortStage) {
     auto machines = machines_of_stage(job, candidates.machines, stage);
-    const auto chosen = scheduling::draw(std::move(machines), count, runtime_.random());
+    const auto chosen = scheduling::random_sample(std::move(machines), count, runtime_.random());
     count -= chosen.size();
     send(job, chosen, stage);
   }
@@ -67,9 +68,9 @@
   // kind) would starve, so in the last stage its probe may wait behind long tasks.
   for (const auto machine : candidates) {
     if (job.probing.machines.contains(machine)) continue;
-    if (stage == kByMap && map.shunned.contains(machine)) continue;
+    if (stage == kByMap && map.closed_to_short_jobs.contains(machine)) continue;
     if (stage == kShortPartition && !map.in_short_partition.contains(machine)) continue;
-    if (candidates_.open(machine)) machines.push_back(machine);
+    if (candidates_.accepts_tasks(machine)) machines.push_back(machine);
   }
   return machines;
 }
@@ -83,15 +84,15 @@
     return;
   probing.widen_after = now + kWidenInterval;
   const bool anywhere = unmoved >= kWidenAnywhereAfter;
-  auto machines = candidates_.with_room(job.record.spec, now);
-  const auto& shunned = registry_.long_task_map().shunned;
+  auto machines = candidates_.with_free_capacity(job.record.spec, now);
+  const auto& closed_to_short_jobs = registry_.long_task_map().closed_to_short_jobs;
   std::erase_if(machines, [&](ids::DenseId machine) {
-    return probing.machines.contains(machine) || !candidates_.open(machine) ||
-           (!anywhere && shunned.contains(machine));
+    return probing.machines.contains(machine) || !candidates_.accepts_tasks(machine) ||
+           (!anywhere && closed_to_short_jobs.contains(machine));
   });
   if (machines.empty()) return;
-  send(job, scheduling::draw(std::move(machines), job.pending(), runtime_.random()),
-       anywhere ? machines::kLastResort : kByMap);
+  send(job, scheduling::random_sample(std::move(machines), job.pending(), runtime_.random()),
+       anywhere ? machines::kLastResortStage : kByMap);
 }
 
 void Prober::renew_if_lost(Job& job) {
--- a/src/jobs/slo_monitor.cpp
+++ b/src/jobs/slo_monitor.cpp
@@ -69,7 +69,8 @@
   // time.
   if (!spec.service && unfinished < pending) return;
   slo_attainment_.observe(uid, work_of(job), spec.tasks - pending,
-                          spec.tasks - std::max(pending, unfinished), registry_.running(uid), now);
+                          spec.tasks - std::max(pending, unfinished), registry_.running_tasks(uid),
+                          now);
 }
 
 void SloMonitor::tick() {
--- a/src/jobs/status_reader.cpp
+++ b/src/jobs/status_reader.cpp
@@ -49,7 +49,7 @@
 
 Status StatusReader::active_status(const std::string& uid) const {
   Status status;
-  status.running = registry_.running(uid);
+  status.running = registry_.running_tasks(uid);
   status.phase = status.running > 0 ? Phase::Running : Phase::Pending;
   return status;
 }
--- a/src/jobs/team_guarantees.cpp
+++ b/src/jobs/team_guarantees.cpp
@@ -18,7 +18,7 @@
   Resources out;
   for (const auto& [uid, job] : job_directory_.all()) {
     if (job.ended || job.spec.team != team) continue;
-    const double tasks = registry_.running(uid);
+    const double tasks = registry_.running_tasks(uid);
     out += {tasks * job.spec.cpus, 0, tasks * job.spec.accelerators};
   }
   return out;
--- a/src/machines/candidates.cpp
+++ b/src/machines/candidates.cpp
@@ -1,21 +1,22 @@
 #include "machines/candidates.hpp"
 
 namespace limemast::machines {
-const Candidates::List& Candidates::of(const wire::JobSpec& s, net::Time now) {
+const Candidates::List& Candidates::matching(const wire::JobSpec& s, net::Time now) {
   return kept(s, now).list;
 }
 
-const std::vector<ids::DenseId>& Candidates::with_room(const wire::JobSpec& s, net::Time now) {
+const std::vector<ids::DenseId>& Candidates::with_free_capacity(const wire::JobSpec& s,
+                                                                net::Time now) {
   auto& kind = kept(s, now);
-  if (kind.room_at != net::Time{} && now - kind.room_at < kRoomKept) return kind.with_room;
+  if (kind.room_at != net::Time{} && now - kind.room_at < kRoomKept) return kind.with_free_capacity;
   kind.room_at = now;
-  kind.with_room.clear();
+  kind.with_free_capacity.clear();
   const auto need = Resources::of(s);
   for (const auto n : kind.list.machines)
     if (const auto* machine_status = registry_.at(n);
         machine_status && machine_status->evaluated && machine_status->free.fits(need))
-      kind.with_room.push_back(n);
-  return kind.with_room;
+      kind.with_free_capacity.push_back(n);
+  return kind.with_free_capacity;
 }
 
 Candidates::Kept& Candidates::kept(const wire::JobSpec& s, net::Time now) {
@@ -35,7 +36,8 @@
     if (s.allows_type(name) && type.fits(s)) types.push_back(&name);
   for (const auto& [name, machine_status] : registry_.machine_statuses()) {
     const auto& r = machine_status.heartbeat;
-    if ((r.spot && !s.spot) || (s.zone && *s.zone != r.zone) || !open(machine_status.id)) continue;
+    if ((r.spot && !s.spot) || (s.zone && *s.zone != r.zone) || !accepts_tasks(machine_status.id))
+      continue;
     if (std::any_of(types.begin(), types.end(), [&](const auto* t) { return *t == r.type; }))
       kept.list.machines.push_back(machine_status.id);
   }
--- a/src/machines/candidates.hpp
+++ b/src/machines/candidates.hpp
@@ -16,11 +16,11 @@
     std::uint64_t version = 0;           ///< grows with each search
   };
   /// The machines that accepted tasks at the last search, at most `kKept` ago.
-  const List& of(const wire::JobSpec& spec, net::Time now);
+  const List& matching(const wire::JobSpec& spec, net::Time now);
   /// Of those, the ones that had room for a task at the last search, at most `kRoomKept` ago.
-  const std::vector<ids::DenseId>& with_room(const wire::JobSpec& spec, net::Time now);
+  const std::vector<ids::DenseId>& with_free_capacity(const wire::JobSpec& spec, net::Time now);
   /// The machine accepts tasks now, as far as is known here.
-  bool open(ids::DenseId machine) const {
+  bool accepts_tasks(ids::DenseId machine) const {
     const auto* machine_status = registry_.at(machine);
     return machine_status && machine_status->accepts_tasks() &&
            !registry_.suspected(machine_status->attached_controller);
@@ -39,7 +39,7 @@
     List list;
     std::uint64_t capacity_version = 0;
     net::Time at{};
-    std::vector<ids::DenseId> with_room;
+    std::vector<ids::DenseId> with_free_capacity;
     net::Time room_at{};
   };
   static constexpr std::size_t kMaxKinds = 256;  ///< with more the cache starts anew
--- a/src/machines/command_dispatcher.cpp
+++ b/src/machines/command_dispatcher.cpp
@@ -140,7 +140,7 @@
     else
       entry.commands.append_once(command_for(CommandKind::Stop, start.command));
   }
-  if (context_.registry.on_machines(uid)) {
+  if (context_.registry.has_live_tasks(uid)) {
     for (const auto& task : status.heartbeat.tasks)
       if (task.uid == uid && !task.exited())
         entry.commands.append_once(command_for(CommandKind::Stop, task));
--- a/src/machines/delivery_resolution.cpp
+++ b/src/machines/delivery_resolution.cpp
@@ -32,9 +32,9 @@
   if (heartbeat.incarnation > assignment.incarnation) return AssignmentState::Gone;
   if (heartbeat.incarnation < assignment.incarnation) return AssignmentState::Unresolved;
   // Proof 6: from this token on, the worker rejects all that the lost deliverer has sent.
-  const bool deliverer_lost = assignment.void_from_token != ids::kNoToken;
+  const bool deliverer_lost = assignment.min_resolving_token != ids::kNoToken;
   if (!assignment.confirmed && deliverer_lost &&
-      heartbeat.fencing_token >= assignment.void_from_token)
+      heartbeat.fencing_token >= assignment.min_resolving_token)
     return task ? AssignmentState::Confirmed : AssignmentState::Gone;
   // Proof 1: it was there, and has been forgotten after its exit, or dropped by the worker.
   if (!task && assignment.confirmed && heartbeat.sequence > assignment.confirmed_sequence)
--- a/src/machines/delivery_resolution.hpp
+++ b/src/machines/delivery_resolution.hpp
@@ -63,7 +63,7 @@
   std::uint64_t confirmed_sequence = 0;  ///< sequence number of the heartbeat that proved it
   /// Set where the deliverer was lost: a heartbeat with this token or a higher one resolves the
   /// assignment (proof 6).
-  ids::FencingToken void_from_token{};
+  ids::FencingToken min_resolving_token{};
 };
 
 enum class AssignmentState {
--- a/src/machines/long_task_map.hpp
+++ b/src/machines/long_task_map.hpp
@@ -11,7 +11,7 @@
 namespace limemast::machines {
 /// The highest stage of a probe. Stage 0 is drawn at random, then by the map, in the short-job
 /// partition, and at last anywhere that the job may run.
-constexpr int kLastResort = 3;
+constexpr int kLastResortStage = 3;
 
 /// Machines with long tasks, as the leader last told; probes that were rejected are redrawn by it.
 struct LongTaskMap {
@@ -22,11 +22,11 @@
   /// Kept for services: short jobs avoid them as if they had a long task.
   std::set<std::string> reserved_for_services;
   /// `with_long_tasks` and `reserved_for_services`, as far as the machines are known here.
-  ids::DenseIdSet shunned;
+  ids::DenseIdSet closed_to_short_jobs;
   /// `short_partition`, likewise.
   ids::DenseIdSet in_short_partition;
 
-  bool fresher_than(const LongTaskMap& other) const {
+  bool newer_than(const LongTaskMap& other) const {
     return epoch != other.epoch ? epoch > other.epoch : serial > other.serial;
   }
 };
--- a/src/machines/orphaned_machine_adoption.cpp
+++ b/src/machines/orphaned_machine_adoption.cpp
@@ -46,7 +46,8 @@
   send_requests();
 }
 
-void OrphanedMachineAdoption::adopt_unheard(const std::vector<MachineAddress>& machines) {
+void OrphanedMachineAdoption::adopt_machines_without_heartbeat(
+    const std::vector<MachineAddress>& machines) {
   const auto& members = context_.membership.epoch().members;
   if (members.empty()) return;
   std::vector<messages::AdoptMachines> shares(members.size());
--- a/src/machines/orphaned_machine_adoption.hpp
+++ b/src/machines/orphaned_machine_adoption.hpp
@@ -29,7 +29,7 @@
   void on_member_lost();
   /// Shares machines among the members of which nobody has had a heartbeat; each machine is asked
   /// once in an epoch.
-  void adopt_unheard(const std::vector<MachineAddress>& machines);
+  void adopt_machines_without_heartbeat(const std::vector<MachineAddress>& machines);
 
  private:
   struct Request {
@@ -51,7 +51,7 @@
   HeartbeatForwarder& forwarder_;
   HeartbeatHandler& heartbeats_;
   std::deque<Request> queue_;
-  std::set<std::string> shared_out_;  ///< by `adopt_unheard` in this epoch
+  std::set<std::string> shared_out_;  ///< by `adopt_machines_without_heartbeat` in this epoch
   std::size_t under_way_ = 0;
 };
 }  // namespace limemast::machines
--- a/src/machines/peer_loads.cpp
+++ b/src/machines/peer_loads.cpp
@@ -31,7 +31,7 @@
     if (controller == membership.self()) continue;
     // A member that has just joined heard nothing before that could have been missed.
     const auto& newest = reports_.try_emplace(controller, Report{now, false, 0}).first->second;
-    if (now - newest.received_at > kMaxReportGap) context_.registry.set_connected_since(now);
+    if (now - newest.received_at > kMaxReportGap) context_.registry.set_peers_connected_since(now);
   }
 }
 
@@ -52,7 +52,7 @@
   return target;
 }
 
-bool PeerLoads::others_reach_store() const {
+bool PeerLoads::any_peer_reaches_store() const {
   return std::any_of(reports_.begin(), reports_.end(), [&](const auto& report) {
     return report.second.store_available && is_recent(report.second);
   });
--- a/src/machines/peer_loads.hpp
+++ b/src/machines/peer_loads.hpp
@@ -31,7 +31,7 @@
   std::uint64_t redirected() const { return redirected_; }
 
   /// Some other controller has told recently that the state service serves it.
-  bool others_reach_store() const;
+  bool any_peer_reaches_store() const;
 
  private:
   struct Report {
--- a/src/machines/probe_service.cpp
+++ b/src/machines/probe_service.cpp
@@ -19,7 +19,7 @@
   LongTaskMap owners;
   owners.epoch = known.epoch;
   owners.serial = known.serial;
-  if (rejected.behind_long_tasks.empty() || !map.fresher_than(owners)) return;
+  if (rejected.behind_long_tasks.empty() || !map.newer_than(owners)) return;
   rejected.map = messages::ProbesRejected::NewerMap{
       {map.epoch, map.serial},
       {map.with_long_tasks, map.short_partition, map.reserved_for_services}};
@@ -156,12 +156,12 @@
   probed.estimate = message.estimate;
   probed.remaining = message.pending_tasks;
   probed.need = message.need;
-  const auto job = jobs_with_probes_.put(probed);
+  const auto job = jobs_with_probes_.upsert(probed);
   messages::ProbesRejected rejected;
   rejected.uid = message.uid;
   rejected.stage = message.stage;
   place(job, message, rejected);
-  jobs_with_probes_.drop_if_unheld(job);
+  jobs_with_probes_.erase_if_unprobed(job);
   if (rejected.behind_long_tasks.empty() && rejected.otherwise.empty()) return;
   attach_newer_map(context_.registry.long_task_map(), message.map, rejected);
   context_.message_bus.send(from, rejected);
@@ -176,7 +176,7 @@
       continue;
     }
     const auto& commands = attached_.get_or_add(machine).commands;
-    if (message.stage < kLastResort && is_closed_to_short_jobs(*status, commands))
+    if (message.stage < kLastResortStage && is_closed_to_short_jobs(*status, commands))
       rejected.behind_long_tasks.push_back(machine);
     else if (!add_probe(machine, job))
       rejected.otherwise.push_back(machine);
--- a/src/machines/registry.cpp
+++ b/src/machines/registry.cpp
@@ -5,7 +5,7 @@
 namespace limemast::machines {
 namespace {
 using namespace std::chrono_literals;
-/// `detect_clock_jump` is called once a second or more often.
+/// `detect_process_suspension` is called once a second or more often.
 constexpr auto kMaxCheckInterval = 2500ms;
 }  // namespace
 
@@ -68,15 +68,15 @@
     it->second.last_heartbeat = now;
 }
 
-void Registry::detect_clock_jump(net::Time now) {
+void Registry::detect_process_suspension(net::Time now) {
   if (last_clock_check_ != net::Time{} && now - last_clock_check_ > kMaxCheckInterval)
-    connected_since_ = now;
+    peers_connected_since_ = now;
   last_clock_check_ = now;
 }
 
-std::vector<std::string> Registry::set_record(const std::string& record,
-                                              std::map<std::string, bool> machines,
-                                              ids::EpochNumber epoch) {
+std::vector<std::string> Registry::apply_registration_record(const std::string& record,
+                                                             std::map<std::string, bool> machines,
+                                                             ids::EpochNumber epoch) {
   auto& current = records_[record];
   const auto before = std::exchange(current, std::move(machines));
   const auto& after = current;
@@ -106,8 +106,8 @@
   ++capacity_version_;
 }
 
-void Registry::set_unreadable(const std::string& record, ids::EpochNumber epoch) {
-  if (!records_.contains(record)) set_record(record, {{record, false}}, epoch);
+void Registry::mark_record_unreadable(const std::string& record, ids::EpochNumber epoch) {
+  if (!records_.contains(record)) apply_registration_record(record, {{record, false}}, epoch);
 }
 
 std::map<std::string, std::map<std::string, bool>> Registry::records_of(
@@ -183,7 +183,7 @@
   if (--count.live == 0) counts_.erase(counted);
 }
 
-std::uint32_t Registry::running(const std::string& uid) const {
+std::uint32_t Registry::running_tasks(const std::string& uid) const {
   auto it = counts_.find(uid);
   return it == counts_.end() ? 0 : it->second.running;
 }
@@ -192,7 +192,7 @@
   if (const auto* machine_status = find(machine)) {
     count(machine_status->heartbeat, {});
     by_id_[machine_status->id] = nullptr;
-    long_task_map_.shunned.erase(machine_status->id);
+    long_task_map_.closed_to_short_jobs.erase(machine_status->id);
     long_task_map_.in_short_partition.erase(machine_status->id);
   }
   ids_.release(machine);
@@ -221,9 +221,11 @@
 }
 
 bool Registry::apply_long_task_map(LongTaskMap map) {
-  if (!map.fresher_than(long_task_map_)) return false;
-  map.shunned = ids_of(map.with_long_tasks);
-  ids_of(map.reserved_for_services).each([&](ids::DenseId id) { map.shunned.insert(id); });
+  if (!map.newer_than(long_task_map_)) return false;
+  map.closed_to_short_jobs = ids_of(map.with_long_tasks);
+  ids_of(map.reserved_for_services).each([&](ids::DenseId id) {
+    map.closed_to_short_jobs.insert(id);
+  });
   map.in_short_partition = ids_of(map.short_partition);
   long_task_map_ = std::move(map);
   return true;
--- a/src/machines/registry.hpp
+++ b/src/machines/registry.hpp
@@ -56,13 +56,13 @@
   /// is a spot machine. Returns the machines that no record names any more. `epoch`: the one that
   /// the watch cache had shown before the record; 0 at the first reading, which does not tell when
   /// a machine was registered.
-  std::vector<std::string> set_record(const std::string& record,
-                                      std::map<std::string, bool> machines,
-                                      ids::EpochNumber epoch = {});
+  std::vector<std::string> apply_registration_record(const std::string& record,
+                                                     std::map<std::string, bool> machines,
+                                                     ids::EpochNumber epoch = {});
   /// The record cannot be read. What it named before stays registered. If it was never read, nobody
   /// knows what it names: a placeholder is registered, a machine that never sends a heartbeat, so
   /// that no failover completes before the record is gone.
-  void set_unreadable(const std::string& record, ids::EpochNumber epoch);
+  void mark_record_unreadable(const std::string& record, ids::EpochNumber epoch);
   /// Whether it is the placeholder of a record and not a machine: there is nothing to terminate.
   static bool is_record_placeholder(const std::string& name) {
     return name.starts_with(cluster::keys::kMachines);
@@ -74,34 +74,34 @@
   void remove(const std::string& machine);
   bool registered(const std::string& machine) const { return registered_.contains(machine); }
   bool removed(const std::string& machine) const { return removed_.contains(machine); }
-  struct Registered {
+  struct Registration {
     unsigned records = 0;  ///< how many records name it
     bool spot = false;
     /// It was registered in this epoch or a later one, hence never commanded before it.
     ids::EpochNumber epoch{};
   };
-  const std::map<std::string, Registered>& all_registered() const { return registered_; }
+  const std::map<std::string, Registration>& registrations() const { return registered_; }
 
   // Whether silence proves anything.
 
   /// Since when every other controller has been heard without a gap. What they heard before is not
   /// known here, so that the silence of a machine says nothing for that time.
-  net::Time connected_since() const { return connected_since_; }
-  void set_connected_since(net::Time since) { connected_since_ = since; }
+  net::Time peers_connected_since() const { return peers_connected_since_; }
+  void set_peers_connected_since(net::Time since) { peers_connected_since_ = since; }
   /// To be called at least once a second, before any machine's silence is judged: a gap between two
   /// calls means that this process was suspended, and that messages of that time are still unread.
   /// Without this a leader that was suspended for a lease's time terminates all machines on waking.
-  void detect_clock_jump(net::Time now);
+  void detect_process_suspension(net::Time now);
 
   // Tasks on machines, over all newest heartbeats.
 
   /// How many tasks of the job are running.
-  std::uint32_t running(const std::string& uid) const;
+  std::uint32_t running_tasks(const std::string& uid) const;
   /// Some task of the job has not exited.
-  bool on_machines(const std::string& uid) const { return counts_.contains(uid); }
+  bool has_live_tasks(const std::string& uid) const { return counts_.contains(uid); }
   /// Whether `matches(uid)` is true for some job that has such a task.
   template <class Matches>
-  bool any_on_machines(Matches matches) const {
+  bool any_job_with_live_tasks(Matches matches) const {
     return std::any_of(counts_.begin(), counts_.end(),
                        [&](const auto& count) { return matches(count.first); });
   }
@@ -156,7 +156,7 @@
   void set_provisioning(std::vector<ProvisioningMachines> provisioning) {
     provisioning_ = std::move(provisioning);
   }
-  const std::set<std::string>& all_cordoned() const { return cordoned_; }
+  const std::set<std::string>& cordoned_machines() const { return cordoned_; }
 
  private:
   void evaluate(MachineStatus& machine_status) const;
@@ -174,7 +174,7 @@
   std::vector<const MachineStatus*> by_id_;  ///< into `machine_statuses_`
   std::uint64_t capacity_version_ = 1;
   std::map<std::string, std::map<std::string, bool>> records_;
-  std::map<std::string, Registered> registered_;
+  std::map<std::string, Registration> registered_;
   std::set<std::string> removed_;
   std::set<std::string> cordoned_;
   std::set<std::string> drained_machines_, drained_zones_;
@@ -189,7 +189,7 @@
   };
   tsl::robin_map<std::string, Count> counts_;  ///< by job
   LongTaskMap long_task_map_;
-  net::Time connected_since_{};
+  net::Time peers_connected_since_{};
   net::Time last_clock_check_{};
 };
 }  // namespace limemast::machines
--- a/src/machines/worker_gateway.cpp
+++ b/src/machines/worker_gateway.cpp
@@ -42,7 +42,7 @@
 }
 
 void WorkerGateway::tick() {
-  context_.registry.detect_clock_jump(context_.runtime.now());
+  context_.registry.detect_process_suspension(context_.runtime.now());
   probes_.drop_from_withdrawn_machines();
   const double own_load = peer_loads_.measure_own_load();
   forwarder_.announce_heard(own_load);
@@ -50,8 +50,8 @@
   peer_loads_.plan_redirects(attached_.all().size(), own_load);
 }
 
-void WorkerGateway::adopt_unheard(const std::vector<MachineAddress>& machines) {
-  adoption_.adopt_unheard(machines);
+void WorkerGateway::adopt_machines_without_heartbeat(const std::vector<MachineAddress>& machines) {
+  adoption_.adopt_machines_without_heartbeat(machines);
 }
 
 void WorkerGateway::on_machine_removed(const std::string& machine) {
--- a/src/machines/worker_gateway.hpp
+++ b/src/machines/worker_gateway.hpp
@@ -17,14 +17,14 @@
   /// To be called once a second.
   void tick();
   /// Has the members ask registered machines, of which nobody has had a heartbeat, for one.
-  void adopt_unheard(const std::vector<MachineAddress>& machines);
+  void adopt_machines_without_heartbeat(const std::vector<MachineAddress>& machines);
   /// The machine was terminated: it and all on it are gone.
   void on_machine_removed(const std::string& machine);
   /// The job has ended: no task of it may start, and those that run are stopped.
   void on_job_ended(const std::string& uid);
 
   /// Some other controller has told recently that the state service serves it.
-  bool others_reach_store() const { return peer_loads_.others_reach_store(); }
+  bool any_peer_reaches_store() const { return peer_loads_.any_peer_reaches_store(); }
   /// Machines sent to a less loaded controller so far.
   std::uint64_t redirected() const { return peer_loads_.redirected(); }
 
--- a/src/messages/probes.hpp
+++ b/src/messages/probes.hpp
@@ -30,7 +30,7 @@
   static constexpr const char* kKind = "probe";
   std::string uid;
   std::vector<std::string> machines;
-  int stage = 0;  ///< how often these probes were redrawn; see machines::kLastResort
+  int stage = 0;  ///< how often these probes were redrawn; see machines::kLastResortStage
   wire::Seconds estimate{0};
   std::uint32_t pending_tasks = 0;
   wire::Resources need;
--- a/src/operator_api/views.cpp
+++ b/src/operator_api/views.cpp
@@ -55,8 +55,8 @@
   const auto it = job_owner_.jobs().find(uid);
   if (it == job_owner_.jobs().end()) return {};
   const auto& job = *it->second;
-  const auto running =
-      std::min<std::uint32_t>(registry_.running(uid), job.record.spec.tasks - job.completed_tasks);
+  const auto running = std::min<std::uint32_t>(registry_.running_tasks(uid),
+                                               job.record.spec.tasks - job.completed_tasks);
   const auto bound = static_cast<std::uint32_t>(job.assignments.size());
   json out{{"waiting", job.pending()},
            {"starting", bound - std::min(bound, running)},
@@ -99,7 +99,7 @@
     return out;
   }
   // Nobody has told more: what the owner said last stands, and why there is no newer word.
-  const auto running = registry_.running(uid);
+  const auto running = registry_.running_tasks(uid);
   const auto left = open->pending_tasks.value_or(s.tasks - std::min(s.tasks, running));
   out.update({{"waiting", left}, {"running", running}, {"starting", nullptr}, {"done", nullptr}});
   if (left > 0)
@@ -163,7 +163,7 @@
   const auto limit = limit_of(query.fields, settings_.operators.page);
   if (!limit) return respond(error(400, "limit: must be a whole number above 0"));
   const auto from = query.fields.find("from");
-  const auto& all = registry_.all_registered();
+  const auto& all = registry_.registrations();
   auto it = from == query.fields.end() ? all.begin() : all.upper_bound(from->second);
   const auto now = runtime_.now();
   std::vector<json> entries;
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -5,8 +5,8 @@
 #include <tuple>
 
 namespace limemast::scheduling {
-std::optional<std::size_t> choose(const std::vector<Candidate>& candidates,
-                                  wire::Seconds indifference) {
+std::optional<std::size_t> choose_machine(const std::vector<Candidate>& candidates,
+                                          wire::Seconds indifference) {
   std::optional<std::size_t> best;
   const auto preference = [&](const Candidate& candidate) {
     const double delay = candidate.delay.count();
@@ -21,14 +21,15 @@
   return best;
 }
 
-std::vector<std::string> choose_short_partition(std::vector<PartCandidate> machines, double share) {
+std::vector<std::string> choose_short_partition(std::vector<PartitionCandidate> machines,
+                                                double share) {
   const auto wanted =
       static_cast<std::size_t>(std::ceil(share * static_cast<double>(machines.size())));
-  const auto preference = [](const PartCandidate& candidate) {
+  const auto preference = [](const PartitionCandidate& candidate) {
     return std::tuple(candidate.has_long_tasks, !candidate.spot, !candidate.in_short_partition);
   };
   std::stable_sort(machines.begin(), machines.end(),
-                   [&](const PartCandidate& left, const PartCandidate& right) {
+                   [&](const PartitionCandidate& left, const PartitionCandidate& right) {
                      return preference(left) < preference(right);
                    });
   std::vector<std::string> chosen;
--- a/src/scheduling/placement.hpp
+++ b/src/scheduling/placement.hpp
@@ -22,11 +22,11 @@
 /// idle ones can be terminated, then the cheapest. Delays within the same multiple of
 /// `indifference` count as equal; 0: all differences count. Machines of the short-job partition are
 /// never chosen; nullopt if there are no others.
-std::optional<std::size_t> choose(const std::vector<Candidate>& candidates,
-                                  wire::Seconds indifference);
+std::optional<std::size_t> choose_machine(const std::vector<Candidate>& candidates,
+                                          wire::Seconds indifference);
 
 /// A machine that may belong to the short-job partition.
-struct PartCandidate {
+struct PartitionCandidate {
   std::string machine;
   bool has_long_tasks = false;
   bool in_short_partition = false;  ///< it belongs to it now
@@ -37,5 +37,6 @@
 /// have long tasks. Spot machines come first, as services may not use them: an on-demand machine
 /// that got in while there was no other would be lost to services for as long as it runs. Then
 /// machines that belong to it already.
-std::vector<std::string> choose_short_partition(std::vector<PartCandidate> machines, double share);
+std::vector<std::string> choose_short_partition(std::vector<PartitionCandidate> machines,
+                                                double share);
 }  // namespace limemast::scheduling
--- a/src/scheduling/probe_table.cpp
+++ b/src/scheduling/probe_table.cpp
@@ -1,7 +1,7 @@
 #include "scheduling/probe_table.hpp"
 
 namespace limemast::scheduling {
-DenseId ProbeTable::put(const ProbedJob& job) {
+DenseId ProbeTable::upsert(const ProbedJob& job) {
   const bool known = ids_.find(job.uid).has_value();
   const auto id = ids_.take(job.uid);
   if (known) {
@@ -28,10 +28,10 @@
 
 void ProbeTable::remove_machine(DenseId job, DenseId machine) {
   records_[job].machines.erase(machine);
-  drop_if_unheld(job);
+  erase_if_unprobed(job);
 }
 
-void ProbeTable::drop_if_unheld(DenseId job) {
+void ProbeTable::erase_if_unprobed(DenseId job) {
   auto& record = records_[job];
   if (!record.machines.empty()) return;
   by_work_.erase({record.job.work(), job});
--- a/src/scheduling/probe_table.hpp
+++ b/src/scheduling/probe_table.hpp
@@ -34,8 +34,8 @@
 class ProbeTable {
  public:
   /// Adds the job, or takes over what has changed of it (owner, remaining tasks); its probes are no
-  /// longer deferred. The caller adds a probe next, or calls `drop_if_unheld`.
-  DenseId put(const ProbedJob& job);
+  /// longer deferred. The caller adds a probe next, or calls `erase_if_unprobed`.
+  DenseId upsert(const ProbedJob& job);
   std::optional<DenseId> find(const std::string& uid) const { return ids_.find(uid); }
   const ProbedJob& at(DenseId job) const { return records_[job].job; }
   void set_remaining(DenseId job, std::uint32_t remaining);
@@ -50,7 +50,7 @@
   /// With its last probe the job is forgotten, and its id may be given to another.
   void remove_machine(DenseId job, DenseId machine);
   /// Forgets the job if no machine holds a probe of it.
-  void drop_if_unheld(DenseId job);
+  void erase_if_unprobed(DenseId job);
   /// Key of the order by remaining work, least first.
   struct ByWork {
     double work;
--- a/src/scheduling/probing.hpp
+++ b/src/scheduling/probing.hpp
@@ -15,7 +15,7 @@
 /// `count` different elements of `from`, or all if there are fewer, drawn uniformly and in random
 /// order.
 template <class T>
-std::vector<T> draw(std::vector<T> from, std::size_t count, std::mt19937_64& random) {
+std::vector<T> random_sample(std::vector<T> from, std::size_t count, std::mt19937_64& random) {
   std::vector<T> out;
   std::sample(from.begin(), from.end(), std::back_inserter(out), count, random);
   std::shuffle(out.begin(), out.end(), random);
--- a/tests/bench/large_deployment_bench.cpp
+++ b/tests/bench/large_deployment_bench.cpp
@@ -82,7 +82,7 @@
   const wire::json told{{"with_long", map.with_long_tasks},
                         {"short_part", map.short_partition},
                         {"kept_free", map.reserved_for_services},
-                        {"closed", n->registry().all_cordoned()}};
+                        {"closed", n->registry().cordoned_machines()}};
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
   std::printf(
@@ -91,7 +91,7 @@
       "%zu views, %zu registered, %zu jobs at the leader; whole simulation %ld MB\n",
       cluster.up_machines(), records, names, largest, settings.value_kb * 1024,
       epoch ? epoch->dump().size() : 0, wire::to_cbor(told).size(),
-      n->registry().machine_statuses().size(), n->registry().all_registered().size(),
+      n->registry().machine_statuses().size(), n->registry().registrations().size(),
       n->job_owner().jobs().size(), usage.ru_maxrss / 1024);
   return 0;
 }
--- a/tests/bench/overload_bench.cpp
+++ b/tests/bench/overload_bench.cpp
@@ -31,8 +31,8 @@
   scheduling::ProbeTable table;
   scheduling::ProbeQueue queue(table, 3, 5);
   for (std::int64_t i = 0; i < state.range(0); ++i) {
-    const auto n = table.put(job_of(static_cast<std::size_t>(i), random));
-    if (!queue.add(n)) table.drop_if_unheld(n);
+    const auto n = table.upsert(job_of(static_cast<std::size_t>(i), random));
+    if (!queue.add(n)) table.erase_if_unprobed(n);
   }
   const auto fits = [](const wire::Resources& n) { return n.cpus <= 2; };
   for (auto _ : state) {
@@ -85,7 +85,7 @@
         std::make_unique<scheduling::ProbeQueue>(table, static_cast<ids::DenseId>(m), 5));
   std::vector<ids::DenseId> jobs;
   for (std::size_t i = 0; i < 500; ++i) {
-    jobs.push_back(table.put(job_of(i, random)));
+    jobs.push_back(table.upsert(job_of(i, random)));
     for (auto& q : queues) q->add(jobs.back());
   }
   for (auto _ : state)
--- a/tests/load/candidates_test.cpp
+++ b/tests/load/candidates_test.cpp
@@ -40,8 +40,8 @@
                                       const machines::Registry& registry, const wire::JobSpec& spec,
                                       net::Time now) {
   std::set<std::string> out;
-  for (const auto id : candidates.of(spec, now).machines)
-    if (candidates.open(id)) out.insert(registry.name_of(id));
+  for (const auto id : candidates.matching(spec, now).machines)
+    if (candidates.accepts_tasks(id)) out.insert(registry.name_of(id));
   return out;
 }
 
--- a/tests/machines/registry_test.cpp
+++ b/tests/machines/registry_test.cpp
@@ -103,7 +103,7 @@
       for (const auto& task : status.heartbeat.tasks)
         running[task.uid] += task.phase == wire::TaskPhase::Running;
     for (unsigned job = 0; job < kJobs; ++job)
-      EXPECT_EQ(registry_.running(uid_of(job)), running[uid_of(job)]) << uid_of(job);
+      EXPECT_EQ(registry_.running_tasks(uid_of(job)), running[uid_of(job)]) << uid_of(job);
   }
 
   std::map<std::string, std::uint64_t> sequences_;
@@ -132,14 +132,17 @@
 
 // A machine that two controllers heard in turn may be named by two records.
 TEST_F(RegistryTest, MachineIsUnregisteredWithItsLastRecord) {
-  EXPECT_TRUE(registry_.set_record("w/machine/a", {{"m1", false}, {"m2", true}}).empty());
-  EXPECT_TRUE(registry_.set_record("w/machine/b", {{"m2", true}, {"m3", false}}).empty());
-  EXPECT_EQ(registry_.set_record("w/machine/a", {}), std::vector<std::string>{"m1"});
+  EXPECT_TRUE(
+      registry_.apply_registration_record("w/machine/a", {{"m1", false}, {"m2", true}}).empty());
+  EXPECT_TRUE(
+      registry_.apply_registration_record("w/machine/b", {{"m2", true}, {"m3", false}}).empty());
+  EXPECT_EQ(registry_.apply_registration_record("w/machine/a", {}), std::vector<std::string>{"m1"});
   ASSERT_TRUE(registry_.registered("m2"));
-  EXPECT_TRUE(registry_.all_registered().at("m2").spot);
-  EXPECT_FALSE(registry_.all_registered().at("m3").spot);
+  EXPECT_TRUE(registry_.registrations().at("m2").spot);
+  EXPECT_FALSE(registry_.registrations().at("m3").spot);
   EXPECT_EQ(registry_.records_of("m2").size(), 1u);
-  EXPECT_EQ(registry_.set_record("w/machine/b", {{"m3", false}}), std::vector<std::string>{"m2"});
+  EXPECT_EQ(registry_.apply_registration_record("w/machine/b", {{"m3", false}}),
+            std::vector<std::string>{"m2"});
   EXPECT_FALSE(registry_.registered("m2"));
   EXPECT_TRUE(registry_.registered("m3"));
 }
--- a/tests/scheduling/placement_test.cpp
+++ b/tests/scheduling/placement_test.cpp
@@ -19,19 +19,19 @@
   const auto fetching = machine(20, 0.9);
   const auto empty = machine(0, 0.2);
   const auto full = machine(0, 0.9);
-  EXPECT_EQ(choose({fetching, empty}, kIndifference), 1u);
-  EXPECT_EQ(choose({empty, full}, kIndifference), 1u);
+  EXPECT_EQ(choose_machine({fetching, empty}, kIndifference), 1u);
+  EXPECT_EQ(choose_machine({empty, full}, kIndifference), 1u);
 }
 
 TEST(PlacementTest, NeverChoosesMachinesOfTheShortJobPartition) {
   auto reserved = machine(0, 0.5);
   reserved.short_partition = true;
-  EXPECT_FALSE(choose({reserved}, kIndifference));
-  EXPECT_EQ(choose({reserved, machine(60, 0.1)}, kIndifference), 1u);
+  EXPECT_FALSE(choose_machine({reserved}, kIndifference));
+  EXPECT_EQ(choose_machine({reserved, machine(60, 0.1)}, kIndifference), 1u);
 }
 
 TEST(ShortJobPartitionTest, KeepsShareAndMembersAndAvoidsLongTasks) {
-  std::vector<PartCandidate> machines;
+  std::vector<PartitionCandidate> machines;
   for (int i = 0; i < 12; ++i) {
     const bool has_long_tasks = i < 4;
     const bool in_short_partition = i == 7;
--- a/tests/scheduling/probe_queue_test.cpp
+++ b/tests/scheduling/probe_queue_test.cpp
@@ -28,7 +28,7 @@
  protected:
   /// Adds a probe of a job whose tasks run for `estimate` seconds.
   DenseId add(const std::string& uid, double estimate, std::uint32_t remaining, double cpus = 1) {
-    const auto id = table.put(job(uid, estimate, remaining, cpus));
+    const auto id = table.upsert(job(uid, estimate, remaining, cpus));
     EXPECT_TRUE(queue.add(id));
     return id;
   }
@@ -71,7 +71,7 @@
   EXPECT_EQ(queue.choose(net::Time(5s), fits), small);
   table.defer(small, net::Time(9s));  // on all machines
   EXPECT_EQ(queue.choose(net::Time(8s), fits), std::nullopt);
-  table.put(job("small", 50, 49));  // probed anew
+  table.upsert(job("small", 50, 49));  // probed anew
   EXPECT_EQ(queue.choose(net::Time(8s), fits), small);
 }
 
@@ -81,7 +81,7 @@
   EXPECT_EQ(queue.size(), 1u);
   EXPECT_EQ(table.at(a).remaining, 7u);
   for (std::size_t i = 1; i < ProbeQueue::kMaxProbes; ++i) add(std::to_string(i), 1, 1);
-  EXPECT_FALSE(queue.add(table.put(job("one more", 1, 1))));
+  EXPECT_FALSE(queue.add(table.upsert(job("one more", 1, 1))));
 }
 
 /// A straightforward queue for one machine with the same rules: a list of its own, searched from
@@ -144,7 +144,7 @@
   std::uint64_t below(std::uint64_t bound) { return random() % bound; }
 
   void add(std::size_t machine, const ProbedJob& added) {
-    ASSERT_TRUE(queues[machine]->add(table.put(added)));
+    ASSERT_TRUE(queues[machine]->add(table.upsert(added)));
     auto& reference = references[machine];
     if (auto* probe = reference.find(added.uid))
       probe->not_before = {};
@@ -234,7 +234,7 @@
   ids::IdInterner names;
   for (int i = 0; i < 100'000; ++i) {
     const auto uid = "wk-" + std::to_string(i);
-    const auto id = table.put(job(uid, 10, 5));
+    const auto id = table.upsert(job(uid, 10, 5));
     EXPECT_EQ(names.take(uid), names.take(uid));
     for (int k = 0; k < 4; ++k) queues[random() % queues.size()]->add(id);
     live[uid] = id;
--- a/tests/scheduling/probing_test.cpp
+++ b/tests/scheduling/probing_test.cpp
@@ -20,12 +20,12 @@
   for (int i = 0; i < 10; ++i) machines.push_back(std::to_string(i));
   std::map<std::string, int> hits;
   for (int i = 0; i < 2000; ++i) {
-    const auto drawn = draw(machines, 3, random);
+    const auto drawn = random_sample(machines, 3, random);
     ASSERT_EQ(std::set<std::string>(drawn.begin(), drawn.end()).size(), 3u);
     for (const auto& machine : drawn) ++hits[machine];
   }
   for (const auto& [machine, count] : hits) EXPECT_NEAR(count, 600, 120) << machine;
-  EXPECT_EQ(draw(machines, 50, random).size(), 10u);
+  EXPECT_EQ(random_sample(machines, 50, random).size(), 10u);
 }
 }  // namespace
 }  // namespace limemast::scheduling
