--- a/src/machines/attached_machines.hpp
+++ b/src/machines/attached_machines.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // The machines that are attached to this controller: each has sent its newest heartbeat here, or
-// has commands of this controller under way still.
+// commands of this controller to it are still in flight.
 #include <string>
 #include <unordered_map>
 
@@ -9,14 +9,14 @@
 #include "net/runtime.hpp"
 
 namespace limemast::machines {
-/// Which fencing tokens count for one machine. Workers reject commands with a lower token than the
-/// highest that they have seen, so that raising it makes commands under way ineffective.
+/// The lowest fencing tokens that are valid for one machine. A worker rejects commands with a lower
+/// token than the highest that it has seen, so raising the token invalidates commands in flight.
 class FencingTokenFloor {
  public:
-  /// Commands must bear at least `token` from now on.
+  /// Commands must carry at least `token` from now on.
   void raise(ids::FencingToken token) { command_floor_ = std::max(command_floor_, token); }
-  /// Commands below `token` may be under way from another controller: raises the floor, and until
-  /// a heartbeat shows it no attempt may be forgotten, as a late start of it would run again.
+  /// Raises the floor because another controller may have commands below `token` in flight. Until a
+  /// heartbeat shows `token`, no attempt may be forgotten: a late start of it would run it again.
   void supersede(ids::FencingToken token) {
     forget_floor_ = std::max(forget_floor_, token);
     raise(forget_floor_);
@@ -31,32 +31,33 @@
   ids::FencingToken forget_floor_{};
 };
 
-/// A heartbeat of one machine whose response has not been sent. Used by `HeartbeatResponder`.
+/// A heartbeat of one machine that has not been responded to. Used by `HeartbeatResponder`.
 struct WaitingResponse {
-  net::Responder respond;          ///< empty if none waits
-  std::uint64_t sequence = 0;      ///< of the heartbeat
-  std::uint64_t serial = 0;        ///< counts the heartbeats that have waited here
-  net::Runtime::TimerId timer{0};  ///< sends the response though a pull is not answered; 0: none
-  bool request_token = false;      ///< once it is sent, the machine is asked to show its new token
+  net::Responder respond;          ///< empty if no heartbeat waits
+  std::uint64_t sequence = 0;      ///< sequence number of the heartbeat
+  std::uint64_t serial = 0;        ///< number of heartbeats that have waited so far
+  net::Runtime::TimerId timer{0};  ///< sends the response if a pull is not answered; 0 if not set
+  bool request_token = false;      ///< after the response, ask the machine to show its new token
 };
 
 /// Direct requests to one machine. Used by `DirectCommandSender`.
 struct DirectRequests {
-  bool under_way = false;
-  bool scheduled = false;
-  bool announce_token = false;  ///< the next one is sent even if there is no command for it
-  net::Time paused_until{};     ///< after one that failed
+  bool in_flight = false;
+  bool send_scheduled = false;
+  bool token_requested = false;  ///< send the next request even if there is no command for it
+  net::Time paused_until{};      ///< set after a request has failed
 };
 
-/// What the other controllers have been sent of one machine. Used by `HeartbeatForwarder`.
+/// The heartbeat of one machine that was last sent to the other controllers. Used by
+/// `HeartbeatForwarder`.
 struct ForwardedHeartbeat {
   std::uint64_t incarnation = 0;
   std::uint64_t sequence = 0;
-  bool sent_by_worker = false;  ///< false: the body of the response to a direct command
-  bool heard_recently = false;  ///< a heartbeat has come since the last `HeardMachines`
+  bool sent_by_worker = false;  ///< false: it was the body of the response to a direct command
+  bool received_since_announcement = false;  ///< a heartbeat came since the last `HeardMachines`
 };
 
-/// One attached machine: a part for each class that works on it.
+/// One attached machine, with a member for each class that works on it.
 struct AttachedMachine {
   CommandQueue commands;
   FencingTokenFloor token_floor;
@@ -64,9 +65,9 @@
   DirectRequests direct;
   ForwardedHeartbeat forwarded;
 
-  /// Nothing under way needs this entry.
+  /// Whether the entry may be erased: no start, direct request or response is pending.
   bool is_unused() const {
-    return commands.starts().empty() && !direct.under_way && !response.respond;
+    return commands.starts().empty() && !direct.in_flight && !response.respond;
   }
 };
 
@@ -75,13 +76,13 @@
  public:
   using Table = std::unordered_map<std::string, AttachedMachine>;
 
-  /// Handles `RaiseFencingToken`.
+  /// Registers the handler of `RaiseFencingToken`.
   explicit AttachedMachines(const GatewayContext& context);
 
   /// nullptr if there is no entry.
   AttachedMachine* find(const std::string& machine);
   const AttachedMachine* find(const std::string& machine) const;
-  /// Adds an entry where there is none.
+  /// Adds an entry if there is none.
   AttachedMachine& get_or_add(const std::string& machine);
   void erase(const std::string& machine) { machines_.erase(machine); }
   Table& all() { return machines_; }
@@ -90,11 +91,11 @@
   bool is_attached(const std::string& machine) const;
   bool is_attached(const MachineStatus* status) const;
 
-  /// The token that commands to the machine bear now.
+  /// The token of commands that are sent to the machine now.
   ids::FencingToken command_token(const AttachedMachine& machine,
                                   const MachineStatus& status) const;
-  /// Tells the other controllers the machine's floor: whichever it reports to next must not send
-  /// commands below it.
+  /// Sends the machine's token floor to the other controllers: the one that the machine attaches to
+  /// next must not send commands below it.
   void broadcast_token_floor(const std::string& machine);
 
  private:
--- a/src/machines/candidates.hpp
+++ b/src/machines/candidates.hpp
@@ -1,25 +1,27 @@
 #pragma once
-// Which machines a job may be probed at.
+// Finds the machines at which a job may place probes.
 #include <map>
 
 #include "machines/registry.hpp"
 
 namespace limemast::machines {
-/// Caches the machines that suit the jobs of one kind: jobs of a class have the same constraints,
-/// and thousands of machines are searched once for all of them instead of for each job and second.
+/// Caches the eligible machines for each set of job constraints. Jobs of a class share their
+/// constraints, so one search over thousands of machines serves all of them.
 class Candidates {
  public:
   explicit Candidates(const Registry& registry) : registry_(registry) {}
 
   struct List {
-    std::vector<ids::DenseId> machines;  ///< some may take no tasks any more: `open` tells
+    std::vector<ids::DenseId> machines;  ///< check `accepts_tasks`: some may no longer accept tasks
     std::uint64_t version = 0;           ///< grows with each search
   };
-  /// The machines that accepted tasks at the last search, at most `kKept` ago.
+  /// The eligible machines that accepted tasks at the last search. The search is repeated when the
+  /// list is older than `kMaxListAge` and the registry's capacity version has changed.
   const List& matching(const wire::JobSpec& spec, net::Time now);
-  /// Of those, the ones that had room for a task at the last search, at most `kRoomKept` ago.
+  /// Those of the `matching` machines that had room for one task at the last search, at most
+  /// `kMaxCapacityAge` ago.
   const std::vector<ids::DenseId>& with_free_capacity(const wire::JobSpec& spec, net::Time now);
-  /// The machine accepts tasks now, as far as is known here.
+  /// Whether the machine accepts tasks now, as far as this controller knows.
   bool accepts_tasks(ids::DenseId machine) const {
     const auto* machine_status = registry_.at(machine);
     return machine_status && machine_status->accepts_tasks() &&
@@ -28,25 +30,25 @@
 
  private:
   /// The constraints of a job on its machines.
-  struct Kind {
+  struct Constraints {
     bool spot;
     double cpus, ram_gb, accelerators;
     std::optional<std::string> zone;
     std::optional<std::vector<std::string>> types;
-    auto operator<=>(const Kind&) const = default;
+    auto operator<=>(const Constraints&) const = default;
   };
-  struct Kept {
+  struct CacheEntry {
     List list;
     std::uint64_t capacity_version = 0;
-    net::Time at{};
+    net::Time searched_at{};
     std::vector<ids::DenseId> with_free_capacity;
-    net::Time room_at{};
+    net::Time capacity_searched_at{};
   };
-  static constexpr std::size_t kMaxKinds = 256;  ///< with more the cache starts anew
-  static constexpr auto kKept = std::chrono::milliseconds(250);
-  static constexpr auto kRoomKept = std::chrono::seconds(1);
-  Kept& kept(const wire::JobSpec& spec, net::Time now);
+  static constexpr std::size_t kMaxEntries = 256;  ///< the cache is cleared when it is full
+  static constexpr auto kMaxListAge = std::chrono::milliseconds(250);
+  static constexpr auto kMaxCapacityAge = std::chrono::seconds(1);
+  CacheEntry& cached(const wire::JobSpec& spec, net::Time now);
   const Registry& registry_;
-  std::map<Kind, Kept> kinds_;
+  std::map<Constraints, CacheEntry> cache_;
 };
 }  // namespace limemast::machines
--- a/src/machines/command_dispatcher.cpp
+++ b/src/machines/command_dispatcher.cpp
@@ -25,7 +25,7 @@
       [this](const ControllerId& from, const auto& message) { on_command_worker(from, message); });
 }
 
-bool CommandDispatcher::is_fresh(messages::SentAt sent_at) const {
+bool CommandDispatcher::is_recent(messages::SentAt sent_at) const {
   return context_.runtime.wall() - sent_at <
          kMaxMessageAge + 2 * net::to_duration(context_.settings.skew);
 }
@@ -43,7 +43,8 @@
   const auto evictions = live_evictions(message, evicted);
   if (!may_start(message, evicted)) return starts_.refuse(machine, start);
   auto& entry = attached_.get_or_add(machine);
-  // Commands are executed in turn, stops before starts: there is room when the start is reached.
+  // Commands are executed in order, stops before starts, so the evicted resources are free when the
+  // start is executed.
   for (const auto& stop : evictions) entry.commands.append(stop);
   entry.commands.add_start(std::move(start));
   probes_.pull_next(machine);
@@ -75,7 +76,7 @@
       !context_.may_start_on(*status) || status->heartbeat.incarnation != message.incarnation)
     return false;
   const auto* job = context_.jobs.find(message.uid);
-  if ((job && job->ended) || !is_fresh(message.sent_at) ||
+  if ((job && job->ended) || !is_recent(message.sent_at) ||
       starts_.is_refused(TaskAttempt::of(message)))
     return false;
   auto free = probes_.free_resources(message.machine);
@@ -87,7 +88,7 @@
                                           const messages::CommandWorker& message) {
   const auto& machine = message.machine;
   const auto* status = context_.registry.find(machine);
-  if (!attached_.is_attached(status) || !is_fresh(message.sent_at)) return;
+  if (!attached_.is_attached(status) || !is_recent(message.sent_at)) return;
   if (!message.command || message.command->kind == CommandKind::Start) return;
   const auto& command = *message.command;
   auto& entry = attached_.get_or_add(machine);
@@ -104,7 +105,7 @@
 
 bool CommandDispatcher::may_forget(const AttachedMachine& entry, const MachineStatus& status,
                                    const wire::Command& command) {
-  // A start that came after the forget would run the attempt again: none may be under way.
+  // A start that arrives after the forget would run the attempt again, so none may be in flight.
   return entry.token_floor.allows_forget(status.heartbeat) && !entry.commands.has_start(command);
 }
 
@@ -121,7 +122,7 @@
 }
 
 void CommandDispatcher::on_job_ended(const std::string& uid) {
-  // No task starts after its job's end was confirmed.
+  // No task may start after the end of its job was confirmed.
   for (auto& [machine, entry] : attached_.all())
     starts_.cancel_queued(machine, entry.commands,
                           [&](const InFlightStart& start) { return start.command.uid == uid; });
@@ -136,7 +137,7 @@
   for (const auto& start : entry.commands.starts()) {
     if (start.command.uid != uid) continue;
     if (start.route == DeliveryRoute::Direct && !start.acknowledged)
-      direct_.send_stop_behind(machine, start.command);
+      direct_.send_stop_after_start(machine, start.command);
     else
       entry.commands.append_once(command_for(CommandKind::Stop, start.command));
   }
--- a/src/machines/direct_command_sender.hpp
+++ b/src/machines/direct_command_sender.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Direct requests to workers: commands that must not wait for the machine's next heartbeat.
+// Sends commands that must not wait for the machine's next heartbeat directly to the worker.
 #include <functional>
 #include <set>
 
@@ -8,35 +8,34 @@
 #include "machines/start_resolver.hpp"
 
 namespace limemast::machines {
-/// Sends at most one request at a time to each machine, apart from stops that follow a start, and
-/// limits the number under way at once.
+/// Sends at most one request at a time to each machine, except for stops that follow a start, and
+/// limits the number of requests in flight to all machines.
 class DirectCommandSender {
  public:
-  /// Called with the response to each request; its body may show the machine's state.
-  using Responded = std::function<void(const std::string& machine, const net::HttpResult& result)>;
+  /// Called with the response to each request. Its body may contain a heartbeat.
+  using OnResponse = std::function<void(const std::string& machine, const net::HttpResult& result)>;
   DirectCommandSender(const GatewayContext& context, AttachedMachines& attached,
-                      StartResolver& starts, ProbeService& probes, Responded responded);
+                      StartResolver& starts, ProbeService& probes, OnResponse on_response);
 
-  /// Sends the machine's commands in a moment, together with those that are queued until then.
-  /// Does nothing while a heartbeat waits for its response, which takes the commands along.
+  /// Sends the machine's commands after a short delay, together with those queued until then. Does
+  /// nothing while a heartbeat waits for its response, because the response carries the commands.
   void send_soon(const std::string& machine);
-  /// Has the machine show a heartbeat with the current epoch's token, whether or not there are
+  /// Requests a heartbeat with the current epoch's token from the machine, even if there are no
   /// commands for it.
   void request_token(const std::string& machine, AttachedMachine& entry);
-  /// Stops an attempt of which a direct start is unanswered, at once and whatever else is under
-  /// way. A worker that hangs executes the start whenever it goes on, and this stop right behind
-  /// it; a stop that comes late harms nothing.
-  void send_stop_behind(const std::string& machine, const wire::Command& start);
+  /// Sends a stop for an attempt whose direct start has not been answered. The stop is sent at
+  /// once, even if another request is in flight. A worker that hangs executes the start when it
+  /// resumes, and the stop right after it. A stop that arrives late does no harm.
+  void send_stop_after_start(const std::string& machine, const wire::Command& start);
 
  private:
   void send(const std::string& machine);
-  /// Whether a request may be sent to the machine now.
   bool may_send(const std::string& machine, const AttachedMachine& entry,
                 const MachineStatus* status) const;
   void post(const std::string& machine, const MachineStatus& status, ids::FencingToken token,
             const std::vector<wire::Command>& commands);
-  void on_response(const std::string& machine, ids::FencingToken token,
-                   const std::vector<wire::Command>& sent, const net::HttpResult& result);
+  void handle_response(const std::string& machine, ids::FencingToken token,
+                       const std::vector<wire::Command>& sent, const net::HttpResult& result);
   void resolve_sent_starts(const std::string& machine, AttachedMachine& entry,
                            ids::FencingToken token, const std::vector<wire::Command>& sent,
                            const net::HttpResult& result);
@@ -46,8 +45,9 @@
   AttachedMachines& attached_;
   StartResolver& starts_;
   ProbeService& probes_;
-  Responded responded_;
-  std::size_t under_way_ = 0;
-  std::set<std::string> waiting_;  ///< machines whose commands wait until fewer are under way
+  OnResponse on_response_;
+  std::size_t in_flight_ = 0;
+  /// Machines whose commands wait until fewer requests are in flight.
+  std::set<std::string> waiting_machines_;
 };
 }  // namespace limemast::machines
--- a/src/machines/gateway_context.hpp
+++ b/src/machines/gateway_context.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What all parts of the worker gateway use.
+// The dependencies that all parts of the worker gateway share.
 #include "cluster/job_directory.hpp"
 #include "cluster/membership.hpp"
 #include "cluster/message_bus.hpp"
@@ -8,7 +8,7 @@
 #include "store/client.hpp"
 
 namespace limemast::machines {
-/// References to what the controller instance owns; they outlive the gateway.
+/// References to objects of the controller instance, which outlive the gateway.
 struct GatewayContext {
   net::Runtime& runtime;
   const wire::Settings& settings;
@@ -18,7 +18,7 @@
   cluster::JobDirectory& jobs;
   Registry& registry;
 
-  /// Whether a machine may be given new tasks by this controller now.
+  /// Whether this controller may start tasks on the machine now.
   bool may_start_on(const MachineStatus& status) const {
     return membership.may_act() && status.accepts_tasks();
   }
--- a/src/machines/heartbeat_forwarder.cpp
+++ b/src/machines/heartbeat_forwarder.cpp
@@ -4,7 +4,7 @@
 
 namespace limemast::machines {
 namespace {
-/// Whether the newest known heartbeat is at least as new as the one that `entry` names.
+/// Whether the known heartbeat is at least as new as the one that `entry` names.
 bool is_up_to_date(const MachineStatus& status, const messages::HeardMachines::Entry& entry) {
   return std::pair(status.heartbeat.incarnation, status.heartbeat.sequence) >=
          std::pair(entry.incarnation, entry.sequence);
@@ -29,10 +29,11 @@
   context_.message_bus.broadcast(messages::ForwardHeartbeat{heartbeat, sent_by_worker});
 }
 
-void HeartbeatForwarder::announce_heard(double own_load) {
+void HeartbeatForwarder::announce_received_heartbeats(double own_load) {
   messages::HeardMachines message;
   for (auto& [machine, entry] : attached_.all()) {
-    if (!std::exchange(entry.forwarded.heard_recently, false) || !attached_.is_attached(machine))
+    if (!std::exchange(entry.forwarded.received_since_announcement, false) ||
+        !attached_.is_attached(machine))
       continue;
     message.machines.push_back({machine, entry.forwarded.incarnation, entry.forwarded.sequence});
   }
@@ -44,7 +45,8 @@
 void HeartbeatForwarder::on_heard_machines(const cluster::ControllerId& from,
                                            const messages::HeardMachines& message) {
   peer_loads_.record(from, message);
-  // What was lost on a broken link, or was sent before this controller joined, is asked for again.
+  // Heartbeats that were lost on a broken link, or sent before this controller joined, are
+  // requested again.
   messages::ResendHeartbeats missing;
   for (const auto& entry : message.machines) {
     const auto* status = context_.registry.find(entry.machine);
@@ -63,8 +65,8 @@
   for (const auto& machine : message.machines) {
     auto* entry = attached_.find(machine);
     if (!entry || !attached_.is_attached(machine)) continue;
-    // It is sent to one controller, yet noted as sent to all: the others see by the next
-    // announcement that they lack it.
+    // The heartbeat is sent only to the requester but recorded as forwarded to all. The other
+    // controllers see from the next announcement that they lack it, and request it.
     auto& forwarded = entry->forwarded;
     const auto& heartbeat = context_.registry.find(machine)->heartbeat;
     forwarded.incarnation = heartbeat.incarnation;
--- a/src/machines/heartbeat_forwarder.hpp
+++ b/src/machines/heartbeat_forwarder.hpp
@@ -1,29 +1,32 @@
 #pragma once
-// Passes heartbeats of attached machines on to the other controllers, so that each knows all
-// machines, and asks for those that were lost on the way.
+// Forwards heartbeats of attached machines to the other controllers, so that each controller knows
+// all machines, and requests forwarded heartbeats that were lost.
 #include "machines/attached_machines.hpp"
 #include "machines/peer_loads.hpp"
 
 namespace limemast::machines {
 class HeartbeatForwarder {
  public:
-  /// Handles `HeardMachines` and `ResendHeartbeats`.
+  /// Registers the handlers of `HeardMachines` and `ResendHeartbeats`.
   HeartbeatForwarder(const GatewayContext& context, AttachedMachines& attached,
                      PeerLoads& peer_loads);
 
   /// Sends the heartbeat to all other controllers. `sent_by_worker`: see `ForwardHeartbeat`.
   void forward(const wire::Heartbeat& heartbeat, bool sent_by_worker);
-  /// A heartbeat of the machine has come.
-  static void mark_heard(AttachedMachine& entry) { entry.forwarded.heard_recently = true; }
-  /// Whether the other controllers know no more of the machine than that it was heard again, once
-  /// it is marked as heard: `heartbeat` says the same as `previous`, and that was forwarded.
-  static bool is_known_to_others(const AttachedMachine& entry, const wire::Heartbeat& previous,
+  /// Records that a heartbeat of the machine was received.
+  static void mark_received(AttachedMachine& entry) {
+    entry.forwarded.received_since_announcement = true;
+  }
+  /// Whether `heartbeat` need not be forwarded: it has the same content as `previous`, and the
+  /// other controllers have a heartbeat that the worker sent. The next announcement tells them that
+  /// a heartbeat was received.
+  static bool peers_know_content(const AttachedMachine& entry, const wire::Heartbeat& previous,
                                  const wire::Heartbeat& heartbeat) {
     return entry.forwarded.sent_by_worker && previous.same_content_as(heartbeat);
   }
-  /// Once a second: tells the other controllers which machines were heard since the last call, and
-  /// this one's load.
-  void announce_heard(double own_load);
+  /// Announces to the other controllers the machines whose heartbeats were received since the last
+  /// call, and this controller's load. Called once a second.
+  void announce_received_heartbeats(double own_load);
 
  private:
   void on_heard_machines(const cluster::ControllerId& from, const messages::HeardMachines& message);
--- a/src/machines/heartbeat_handler.cpp
+++ b/src/machines/heartbeat_handler.cpp
@@ -7,9 +7,13 @@
 #include "machines/worker_requests.hpp"
 
 namespace limemast::machines {
+namespace {
+constexpr int kAccepted = 200;
+}  // namespace
+
 HeartbeatHandler::HeartbeatHandler(const GatewayContext& context, const Parts& parts,
-                                   Updated updated)
-    : context_(context), parts_(parts), updated_(std::move(updated)) {
+                                   OnUpdate on_update)
+    : context_(context), parts_(parts), on_update_(std::move(on_update)) {
   context_.message_bus.on<messages::ForwardHeartbeat>(
       [this](const cluster::ControllerId& from, const messages::ForwardHeartbeat& message) {
         if (message.heartbeat) accept(*message.heartbeat, from, message.sent_by_worker);
@@ -17,9 +21,9 @@
 }
 
 bool HeartbeatHandler::may_accept(const wire::Heartbeat& heartbeat) const {
-  // Accepting renews the worker's lease, which needs a valid lease of this controller. A token of
-  // an epoch that it has not read means that it is behind: the worker would drop the response, and
-  // its lease would run out here.
+  // Accepting a heartbeat renews the worker's lease, so this controller must hold a valid lease
+  // itself. A token of an epoch that this controller has not read yet shows that its view is stale.
+  // The worker would drop the response, and its lease would expire.
   return context_.membership.may_act() &&
          heartbeat.fencing_token.epoch() <= context_.membership.epoch().number &&
          !context_.registry.removed(heartbeat.machine);
@@ -27,9 +31,9 @@
 
 bool HeartbeatHandler::may_register(const wire::Heartbeat& heartbeat,
                                     const MachineStatus* status) const {
-  // The first heartbeat here of a machine that was commanded before may be a delayed one of a
-  // machine that was terminated: registered, it would be waited for. Its next heartbeat shows that
-  // it lives.
+  // A machine that has a fencing token has been sent commands before. Its first heartbeat at this
+  // controller may be a delayed one of a machine that was terminated, and once registered it would
+  // be waited for. Its second heartbeat shows that it is running.
   return !context_.registry.registered(heartbeat.machine) &&
          (status || heartbeat.fencing_token == ids::kNoToken);
 }
@@ -39,15 +43,15 @@
   if (!may_accept(heartbeat)) return respond(refusal_response(R"({"error":"not entitled"})"));
   const auto* status = context_.registry.find(machine);
   if (status && !heartbeat.newer_than(status->heartbeat))
-    return respond_to_late(machine, *status, respond);
+    return respond_to_outdated(machine, *status, respond);
   const bool moved = !parts_.attached.is_attached(status) || !parts_.attached.find(machine);
   auto& entry = parts_.attached.get_or_add(machine);
   if (moved) attach(entry, heartbeat);
   HeartbeatResponder::hold(entry, std::move(respond), heartbeat.sequence);
   if (may_register(heartbeat, status)) parts_.registration.register_soon(machine);
-  HeartbeatForwarder::mark_heard(entry);
-  // Most heartbeats repeat the one before.
-  if (moved || !HeartbeatForwarder::is_known_to_others(entry, status->heartbeat, heartbeat))
+  HeartbeatForwarder::mark_received(entry);
+  // Most heartbeats have the same content as the previous one and need not be forwarded.
+  if (moved || !HeartbeatForwarder::peers_know_content(entry, status->heartbeat, heartbeat))
     parts_.forwarder.forward(heartbeat, true);
   accept(heartbeat, context_.membership.self(), true);
   if (!moved && redirect(machine, entry)) return;
@@ -55,32 +59,32 @@
   parts_.responder.schedule(machine);
 }
 
-void HeartbeatHandler::respond_to_late(const std::string& machine, const MachineStatus& status,
-                                       const net::Responder& respond) {
-  // The response to a direct request has shown a newer state meanwhile. This response renews the
+void HeartbeatHandler::respond_to_outdated(const std::string& machine, const MachineStatus& status,
+                                           const net::Responder& respond) {
+  // The response to a direct request has already shown a newer state. This response renews the
   // lease and carries no commands.
   if (!parts_.attached.is_attached(&status))
     return respond(refusal_response(R"({"error":"late report"})"));
   const auto token = parts_.attached.command_token(parts_.attached.get_or_add(machine), status);
-  respond(heartbeat_response(200, wire::commands_body(token, {}).dump(), &status));
+  respond(heartbeat_response(kAccepted, wire::commands_body(token, {}).dump(), &status));
 }
 
 void HeartbeatHandler::attach(AttachedMachine& entry, const wire::Heartbeat& heartbeat) const {
   const auto epoch = context_.membership.epoch().number;
-  // Commands that another controller sent directly may still be under way.
+  // Commands that another controller sent directly may still be in flight.
   entry.token_floor.supersede(
       std::max(heartbeat.fencing_token.next(), ids::FencingToken::base(epoch)));
-  // A new machine holds nothing that it could be asked for.
+  // A machine without a token is new and has no tasks to show.
   HeartbeatResponder::set_token_request(entry, heartbeat.fencing_token != ids::kNoToken);
-  spdlog::debug("machine {} now reports here, epoch {}", heartbeat.machine, epoch);
+  spdlog::debug("machine {} attached to this controller in epoch {}", heartbeat.machine, epoch);
 }
 
 void HeartbeatHandler::on_direct_response(const std::string& machine,
                                           const net::HttpResult& result) {
-  const auto heartbeat = heartbeat_in(result);
+  const auto heartbeat = heartbeat_from_response(result);
   const auto* status = context_.registry.find(machine);
-  // The machine stays with the controller that it sends heartbeats to; this body only shows what is
-  // on it.
+  // The body shows the machine's tasks. It does not attach the machine here: a machine is attached
+  // to the controller to which it sends heartbeats.
   if (!heartbeat || heartbeat->machine != machine || context_.registry.removed(machine) ||
       !parts_.attached.is_attached(status))
     return;
@@ -100,7 +104,7 @@
     update_attached(machine);
   else
     detach(machine);
-  if (!repeats) context_.runtime.post([this, machine] { updated_(machine); });
+  if (!repeats) context_.runtime.post([this, machine] { on_update_(machine); });
 }
 
 void HeartbeatHandler::update_attached(const std::string& machine) {
@@ -121,10 +125,10 @@
 
 bool HeartbeatHandler::redirect(const std::string& machine, AttachedMachine& entry) {
   const auto& commands = entry.commands;
-  const bool commands_under_way =
-      !commands.starts().empty() || commands.pending_count() > 0 || entry.direct.under_way;
+  const bool commands_in_flight =
+      !commands.starts().empty() || commands.pending_count() > 0 || entry.direct.in_flight;
   if (!parts_.peer_loads.may_redirect() || parts_.probes.is_pulling(machine) ||
-      commands_under_way || !entry.response.respond || !context_.registry.registered(machine))
+      commands_in_flight || !entry.response.respond || !context_.registry.registered(machine))
     return false;
   const auto controller = parts_.peer_loads.take_redirect();
   if (!controller) return false;
--- a/src/machines/heartbeat_handler.hpp
+++ b/src/machines/heartbeat_handler.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// Takes heartbeats in, whichever way they reach this controller.
+// Processes heartbeats: those sent to this controller, forwarded ones, and those in responses to
+// direct commands.
 #include <functional>
 
 #include "machines/command_dispatcher.hpp"
@@ -9,9 +10,10 @@
 namespace limemast::machines {
 class HeartbeatHandler {
  public:
-  /// Called soon after each heartbeat that shows something new, whichever controller received it.
-  using Updated = std::function<void(const std::string& machine)>;
-  /// What it hands heartbeats on to.
+  /// Called from the event loop after each heartbeat with new content, whichever controller
+  /// received it.
+  using OnUpdate = std::function<void(const std::string& machine)>;
+  /// The other parts of the gateway that take part in processing a heartbeat.
   struct Parts {
     AttachedMachines& attached;
     ProbeService& probes;
@@ -22,32 +24,33 @@
     PeerLoads& peer_loads;
     MachineRegistration& registration;
   };
-  /// Handles `ForwardHeartbeat`.
-  HeartbeatHandler(const GatewayContext& context, const Parts& parts, Updated updated);
+  /// Registers the handler of `ForwardHeartbeat`.
+  HeartbeatHandler(const GatewayContext& context, const Parts& parts, OnUpdate on_update);
 
-  /// A heartbeat that the worker sent to this controller.
+  /// Processes a heartbeat that the worker sent to this controller.
   void handle(const wire::Heartbeat& heartbeat, net::Responder respond);
-  /// The response of a worker to a direct request; its body may be a heartbeat.
+  /// Processes a worker's response to a direct request, whose body may be a heartbeat.
   void on_direct_response(const std::string& machine, const net::HttpResult& result);
-  /// A heartbeat that `controller` received. `sent_by_worker`: false if it is the body of the
-  /// response to a direct request.
+  /// Applies a heartbeat that `controller` received. `sent_by_worker`: false if it was the body of
+  /// the response to a direct request.
   void accept(const wire::Heartbeat& heartbeat, const cluster::ControllerId& controller,
               bool sent_by_worker);
 
  private:
   bool may_accept(const wire::Heartbeat& heartbeat) const;
   bool may_register(const wire::Heartbeat& heartbeat, const MachineStatus* status) const;
-  void respond_to_late(const std::string& machine, const MachineStatus& status,
-                       const net::Responder& respond);
+  void respond_to_outdated(const std::string& machine, const MachineStatus& status,
+                           const net::Responder& respond);
   void attach(AttachedMachine& entry, const wire::Heartbeat& heartbeat) const;
   void detach(const std::string& machine);
   void update_attached(const std::string& machine);
-  /// Answers the heartbeat by redirecting the machine to a less loaded controller, unless something
-  /// is under way for it: its next heartbeat will do as well. False: it was not answered.
+  /// Responds to the heartbeat by redirecting the machine to a less loaded controller, unless
+  /// commands or a pull for it are pending: then a later heartbeat can be redirected. Returns false
+  /// if it has not responded.
   bool redirect(const std::string& machine, AttachedMachine& entry);
 
   GatewayContext context_;
   Parts parts_;
-  Updated updated_;
+  OnUpdate on_update_;
 };
 }  // namespace limemast::machines
--- a/src/machines/heartbeat_responder.cpp
+++ b/src/machines/heartbeat_responder.cpp
@@ -6,7 +6,7 @@
 namespace limemast::machines {
 namespace {
 using namespace std::chrono_literals;
-/// How long a response waits for the answer to the pull under way.
+/// How long a response waits for the answer to the pull in flight.
 constexpr auto kMaxWaitForPull = 40ms;
 
 constexpr int kAccepted = 200;
@@ -49,8 +49,8 @@
   };
   cancel_timer(response);
   response.timer = context_.runtime.after(kMaxWaitForPull, respond_to_same);
-  // What the heartbeat gives rise to is posted by now, and what the owners answer is posted by
-  // that: all of it has come in after three turns of the event loop.
+  // Messages that the heartbeat caused are posted by now, and the owners on this controller post
+  // their commands while handling them. Three turns of the event loop deliver all of these.
   auto& runtime = context_.runtime;
   runtime.post([this, respond_to_same, machine, &runtime] {
     runtime.post([this, respond_to_same, machine, &runtime] {
@@ -69,15 +69,14 @@
   if (!context_.membership.may_act() || !attached_.is_attached(status))
     return respond(refusal_response());
   std::vector<wire::Command> commands;
-  // A direct request under way may carry earlier commands of the same kind: later ones must not
-  // overtake them.
-  if (context_.registry.registered(machine) && !entry.direct.under_way)
+  // A direct request in flight may carry earlier commands, and later ones must not overtake them.
+  if (context_.registry.registered(machine) && !entry.direct.in_flight)
     commands =
         entry.commands.take_for_response(status->heartbeat.incarnation, entry.response.sequence);
   const auto token = attached_.command_token(entry, *status);
   respond(heartbeat_response(kAccepted, wire::commands_body(token, commands).dump(), status));
-  // A worker shows a higher token by itself only once in half a lease. Asked for it now, what the
-  // machine holds is known a heartbeat interval sooner.
+  // Without a request, the worker shows a higher token only in its next heartbeat, half a lease
+  // later. The request proves one heartbeat interval sooner which tasks the machine has.
   if (std::exchange(entry.response.request_token, false) &&
       status->heartbeat.fencing_token.epoch() < context_.membership.epoch().number)
     direct_.request_token(machine, entry);
--- a/src/machines/heartbeat_responder.hpp
+++ b/src/machines/heartbeat_responder.hpp
@@ -1,12 +1,13 @@
 #pragma once
-// Responses to heartbeats: they renew the machine's lease and carry its commands.
+// Responds to heartbeats. A response renews the machine's lease and carries its commands.
 #include "machines/direct_command_sender.hpp"
 
 namespace limemast::machines {
-/// The status that has a worker keep its lease as it is and try again, here or elsewhere.
+/// The response that makes a worker retry, here or at another controller, without renewing its
+/// lease.
 net::HttpResponse refusal_response(std::string body = {});
-/// A response to a heartbeat; the server keeps the connections of machines that run something
-/// (net/connection_limits.hpp). `status`: nullptr if nothing is known of the machine.
+/// A response to a heartbeat. The HTTP server keeps idle connections of machines with live tasks
+/// (net/connection_limits.hpp). `status`: nullptr if the machine is unknown.
 net::HttpResponse heartbeat_response(int code, std::string body, const MachineStatus* status);
 
 class HeartbeatResponder {
@@ -14,19 +15,20 @@
   HeartbeatResponder(const GatewayContext& context, AttachedMachines& attached,
                      ProbeService& probes, DirectCommandSender& direct);
 
-  /// Keeps the responder of the machine's newest heartbeat; an earlier one that waits is refused.
+  /// Keeps the responder of the machine's newest heartbeat. Refuses an earlier one that still
+  /// waits.
   static void hold(AttachedMachine& entry, net::Responder respond, std::uint64_t sequence);
-  /// Responds once the owners' commands that the heartbeat gave rise to have come in, or the pull
-  /// under way is answered; after some time in any case.
+  /// Schedules the response: after the owners have sent the commands that the heartbeat caused and
+  /// the pull in flight, if any, is answered, but no later than after a fixed wait.
   void schedule(const std::string& machine);
-  /// Responds now, with all commands that may be sent; nothing happens if no heartbeat waits.
+  /// Responds now with all commands that may be sent. Does nothing if no heartbeat waits.
   void respond(const std::string& machine);
-  /// Sends the machine of the waiting heartbeat to another controller.
+  /// Responds to the waiting heartbeat by redirecting the machine to another controller.
   void redirect(const std::string& machine, AttachedMachine& entry,
                 const cluster::ControllerId& controller);
   /// Refuses the waiting heartbeat of a machine whose entry is about to be erased.
   static void refuse(AttachedMachine& entry);
-  /// Whether, once the next response is sent, the machine is asked for a heartbeat that shows the
+  /// Sets whether the machine is asked, after the next response, for a heartbeat that shows the
   /// current token.
   static void set_token_request(AttachedMachine& entry, bool wanted) {
     entry.response.request_token = wanted;
--- a/src/machines/long_task_map.hpp
+++ b/src/machines/long_task_map.hpp
@@ -9,21 +9,21 @@
 #include "ids/fencing.hpp"
 
 namespace limemast::machines {
-/// The highest stage of a probe. Stage 0 is drawn at random, then by the map, in the short-job
-/// partition, and at last anywhere that the job may run.
+/// The highest stage of a probe. Machines are drawn at random in stage 0, by this map in stage 1,
+/// from the short-job partition in stage 2, and from all eligible machines in stage 3.
 constexpr int kLastResortStage = 3;
 
-/// Machines with long tasks, as the leader last told; probes that were rejected are redrawn by it.
+/// The newest map of machines with long tasks from the leader. Rejected probes are redrawn by it.
 struct LongTaskMap {
-  ids::EpochNumber epoch{};  ///< in which the leader made it
-  std::uint64_t serial = 0;  ///< numbers the maps of one epoch
+  ids::EpochNumber epoch{};  ///< epoch in which the leader made the map
+  std::uint64_t serial = 0;  ///< number of the map within its epoch
   std::set<std::string> with_long_tasks;
   std::set<std::string> short_partition;
-  /// Kept for services: short jobs avoid them as if they had a long task.
+  /// Reserved for services: short jobs avoid them like machines with a long task.
   std::set<std::string> reserved_for_services;
-  /// `with_long_tasks` and `reserved_for_services`, as far as the machines are known here.
+  /// Ids of `with_long_tasks` and `reserved_for_services`, for machines that are known here.
   ids::DenseIdSet closed_to_short_jobs;
-  /// `short_partition`, likewise.
+  /// Ids of `short_partition`, for machines that are known here.
   ids::DenseIdSet in_short_partition;
 
   bool newer_than(const LongTaskMap& other) const {
--- a/src/machines/orphaned_machine_adoption.cpp
+++ b/src/machines/orphaned_machine_adoption.cpp
@@ -8,11 +8,12 @@
 
 namespace limemast::machines {
 namespace {
-/// A machine of which nothing is known most likely never restarted.
+/// The incarnation assumed for a machine without a status, which most likely never restarted.
 constexpr std::uint64_t kFirstIncarnation = 1;
-/// Half of a lost controller's machines may be unreachable: requests to machines that answer must
-/// not wait for those that do not.
-constexpr std::size_t kMaxUnderWay = 48;
+/// Maximum number of requests in flight. Large enough that requests to reachable machines do not
+/// wait for those to unreachable ones, even if half of a lost controller's machines are
+/// unreachable.
+constexpr std::size_t kMaxInFlight = 48;
 
 constexpr int kExecuted = 200;
 constexpr int kRejected = 409;
@@ -27,13 +28,13 @@
       [this](const cluster::ControllerId&, const auto& message) { on_adopt_machines(message); });
 }
 
-std::size_t OrphanedMachineAdoption::member_for(const std::string& machine) const {
+std::size_t OrphanedMachineAdoption::member_index_for(const std::string& machine) const {
   return std::hash<std::string>()(machine) % context_.membership.epoch().members.size();
 }
 
 void OrphanedMachineAdoption::on_member_lost() {
   queue_.clear();
-  shared_out_.clear();
+  assigned_in_epoch_.clear();
   const auto& membership = context_.membership;
   const auto& members = membership.epoch().members;
   if (!membership.is_member(membership.self())) return;
@@ -41,7 +42,7 @@
       static_cast<std::size_t>(std::distance(members.begin(), members.find(membership.self())));
   for (const auto& [machine, status] : context_.registry.machine_statuses())
     if (!membership.is_member(status.attached_controller) &&
-        context_.registry.registered(machine) && member_for(machine) == own_position)
+        context_.registry.registered(machine) && member_index_for(machine) == own_position)
       queue_.push_back({machine, {}});
   send_requests();
 }
@@ -52,8 +53,8 @@
   if (members.empty()) return;
   std::vector<messages::AdoptMachines> shares(members.size());
   for (const auto& [machine, address] : machines)
-    if (shared_out_.insert(machine).second)
-      shares[member_for(machine)].machines.push_back({machine, address});
+    if (assigned_in_epoch_.insert(machine).second)
+      shares[member_index_for(machine)].machines.push_back({machine, address});
   auto share = shares.begin();
   for (const auto& controller : members) {
     if (!share->machines.empty()) context_.message_bus.send(controller, *share);
@@ -75,7 +76,7 @@
 }
 
 void OrphanedMachineAdoption::send_requests() {
-  while (!queue_.empty() && under_way_ < kMaxUnderWay) {
+  while (!queue_.empty() && in_flight_ < kMaxInFlight) {
     const auto request = std::move(queue_.front());
     queue_.pop_front();
     const auto* status = context_.registry.find(request.machine);
@@ -92,11 +93,11 @@
     entry.token_floor.supersede(std::max(status->heartbeat.fencing_token.next(), token));
     token = attached_.command_token(entry, *status);
   }
-  ++under_way_;
+  ++in_flight_;
   context_.runtime.http(status ? status->heartbeat.address : request.address,
                         command_request(incarnation, token, {}), kWorkerRequestTimeout,
                         [this, request, incarnation](const net::HttpResult& result) {
-                          --under_way_;
+                          --in_flight_;
                           on_response(request, incarnation, result);
                           send_requests();
                         });
@@ -104,25 +105,26 @@
 
 void OrphanedMachineAdoption::on_response(const Request& request, std::uint64_t incarnation,
                                           const net::HttpResult& result) {
-  const auto heartbeat = heartbeat_in(result);
+  const auto heartbeat = heartbeat_from_response(result);
   const auto& membership = context_.membership;
   const auto* status = context_.registry.find(request.machine);
   const bool heard_by_member = status && membership.is_member(status->attached_controller);
   if (!heartbeat || heartbeat->machine != request.machine || heard_by_member ||
       !membership.may_act() || !context_.registry.registered(request.machine))
     return;
-  // The incarnation was guessed where nothing was known of the machine: the response tells the
-  // right one, with which the machine is asked once more.
+  // The incarnation of a machine without a status was assumed. The response contains the actual
+  // one, and the request is repeated once with it.
   if (result.status == kRejected && !status && heartbeat->incarnation != incarnation &&
       incarnation == kFirstIncarnation)
     return send(request, heartbeat->incarnation);
   if (result.status != kExecuted) return;
-  // As for a machine that moves: another member may have heard it and sent it commands a moment
-  // ago.
+  // As for a machine that moves, another member may just have received a heartbeat of it and sent
+  // it commands.
   if (!status)
     attached_.get_or_add(request.machine).token_floor.supersede(heartbeat->fencing_token.next());
   forwarder_.forward(*heartbeat, false);
   heartbeats_.accept(*heartbeat, membership.self(), false);
-  spdlog::debug("machine {} adopted, epoch {}", request.machine, membership.epoch().number);
+  spdlog::debug("machine {} adopted by this controller in epoch {}", request.machine,
+                membership.epoch().number);
 }
 }  // namespace limemast::machines
--- a/src/machines/orphaned_machine_adoption.hpp
+++ b/src/machines/orphaned_machine_adoption.hpp
@@ -1,12 +1,12 @@
 #pragma once
-// Makes machines show themselves whose controller was lost.
+// Requests heartbeats from machines whose controller was lost.
 //
-// Most machines of a lost controller come to another one within a heartbeat interval. Those of a
-// controller that hangs wait for its response first, and those of one that was cut off from the
-// state service alone go on reporting to it until its lease has ended by its own clock. Each is
-// asked, by the member that its name is assigned to, for a heartbeat with the new epoch's fencing
-// token: that tells what the machine holds, makes all commands of the lost controller ineffective,
-// and makes that controller refuse the machine's next heartbeat.
+// Most machines of a lost controller attach to another one within a heartbeat interval. If the lost
+// controller hangs, its machines wait for its response first. If it was cut off from the state
+// service only, they send heartbeats to it until its lease expires by its own clock. Each machine's
+// name determines the member that requests a heartbeat with the new epoch's fencing token from it.
+// That heartbeat shows the machine's tasks. The token invalidates all commands of the lost
+// controller and makes that controller refuse the machine's next heartbeat.
 #include <deque>
 #include <set>
 #include <string>
@@ -16,42 +16,44 @@
 #include "machines/heartbeat_handler.hpp"
 
 namespace limemast::machines {
-/// A registered machine and the address at which it can be asked.
+/// A registered machine and the address of its worker.
 using MachineAddress = std::pair<std::string, std::string>;
 
 class OrphanedMachineAdoption {
  public:
-  /// Handles `AdoptMachines`.
+  /// Registers the handler of `AdoptMachines`.
   OrphanedMachineAdoption(const GatewayContext& context, AttachedMachines& attached,
                           HeartbeatForwarder& forwarder, HeartbeatHandler& heartbeats);
 
-  /// A member was lost: asks this controller's share of the machines that no member hears.
+  /// Called when a member was lost. Requests heartbeats from this controller's share of the
+  /// machines that are attached to no member.
   void on_member_lost();
-  /// Shares machines among the members of which nobody has had a heartbeat; each machine is asked
-  /// once in an epoch.
+  /// Divides machines from which no controller has received a heartbeat among the members, which
+  /// request one. Each machine is assigned to a member once per epoch.
   void adopt_machines_without_heartbeat(const std::vector<MachineAddress>& machines);
 
  private:
   struct Request {
     std::string machine;
-    std::string address;  ///< used where nothing is known of the machine; else its status tells
+    std::string address;  ///< used only if the machine has no status, which holds its address
   };
   void on_adopt_machines(const messages::AdoptMachines& message);
   void send_requests();
-  /// Whether the machine is still neither heard by a member nor gone.
+  /// Whether the machine is still registered and attached to no member.
   bool is_needed(const Request& request, const MachineStatus* status) const;
   void send(const Request& request, std::uint64_t incarnation);
   void on_response(const Request& request, std::uint64_t incarnation,
                    const net::HttpResult& result);
-  /// Which member, in the order of their ids, asks this machine.
-  std::size_t member_for(const std::string& machine) const;
+  /// Index of the member, in the order of their ids, that sends the request to this machine.
+  std::size_t member_index_for(const std::string& machine) const;
 
   GatewayContext context_;
   AttachedMachines& attached_;
   HeartbeatForwarder& forwarder_;
   HeartbeatHandler& heartbeats_;
   std::deque<Request> queue_;
-  std::set<std::string> shared_out_;  ///< by `adopt_machines_without_heartbeat` in this epoch
-  std::size_t under_way_ = 0;
+  /// Machines that `adopt_machines_without_heartbeat` has assigned to a member in this epoch.
+  std::set<std::string> assigned_in_epoch_;
+  std::size_t in_flight_ = 0;
 };
 }  // namespace limemast::machines
--- a/src/machines/peer_loads.cpp
+++ b/src/machines/peer_loads.cpp
@@ -6,7 +6,7 @@
 namespace limemast::machines {
 namespace {
 using namespace std::chrono_literals;
-/// Members tell once a second; three missed in a row are a gap.
+/// Members report once a second. Three missed reports in a row are a gap.
 constexpr auto kMaxReportGap = 3500ms;
 }  // namespace
 
@@ -17,8 +17,8 @@
 double PeerLoads::measure_own_load() {
   const auto now = context_.runtime.now();
   const auto busy = context_.runtime.busy();
-  const auto passed = now - std::exchange(measured_at_, now);
-  const auto worked = busy - std::exchange(busy_before_, busy);
+  const auto passed = now - std::exchange(last_measured_at_, now);
+  const auto worked = busy - std::exchange(last_busy_, busy);
   if (passed <= net::Duration::zero()) return 0;
   return std::clamp(net::to_seconds(worked) / net::to_seconds(passed), 0.0, 1.0);
 }
@@ -29,7 +29,7 @@
   std::erase_if(reports_, [&](const auto& report) { return !membership.is_member(report.first); });
   for (const auto& controller : membership.epoch().members) {
     if (controller == membership.self()) continue;
-    // A member that has just joined heard nothing before that could have been missed.
+    // A member without a report has just joined, so there is no earlier report to miss.
     const auto& newest = reports_.try_emplace(controller, Report{now, false, 0}).first->second;
     if (now - newest.received_at > kMaxReportGap) context_.registry.set_peers_connected_since(now);
   }
--- a/src/machines/peer_loads.hpp
+++ b/src/machines/peer_loads.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// What the other controllers tell of themselves once a second, and how machines are spread by it.
+// Keeps the load and store availability that the other controllers report once a second, and plans
+// by them how many machines to redirect.
 #include <map>
 #include <optional>
 
@@ -12,25 +13,26 @@
  public:
   explicit PeerLoads(const GatewayContext& context) : context_(context) {}
 
-  /// Takes what `from` tells of itself.
+  /// Stores the load and store availability that `from` reports.
   void record(const cluster::ControllerId& from, const messages::HeardMachines& message);
-  /// The share of the time since the last call, 0 to 1, in which this process's event loop had
-  /// work.
+  /// Share of the time since the last call, 0 to 1, in which this process's event loop was busy.
   double measure_own_load();
-  /// Notes gaps in what members tell: for as long, the silence of a machine proves nothing here.
+  /// Detects gaps in the members' reports. A machine's silence during a gap proves nothing, so the
+  /// gap resets `Registry::peers_connected_since`.
   void detect_silent_members();
-  /// Once a second: decides how many machines may be redirected, if that is switched on.
+  /// Decides how many machines may be redirected until the next call, if load balancing is enabled.
+  /// Called once a second.
   void plan_redirects(std::size_t attached_machines, double own_load);
 
-  /// Whether machines may be redirected until the next plan.
+  /// Whether the current plan allows another redirect.
   bool may_redirect() const { return load_rebalancer_.allowance() > 0; }
-  /// The controller that the next machine is to be redirected to; nullopt if it is to stay. Uses up
-  /// one of the redirects that are planned.
+  /// Returns the controller that the next machine is redirected to, or nullopt if the machine
+  /// stays. Uses up one planned redirect.
   std::optional<cluster::ControllerId> take_redirect();
-  /// Machines redirected so far.
+  /// Number of machines redirected so far.
   std::uint64_t redirected() const { return redirected_; }
 
-  /// Some other controller has told recently that the state service serves it.
+  /// Whether another controller has recently reported that the state service is available to it.
   bool any_peer_reaches_store() const;
 
  private:
@@ -42,10 +44,10 @@
   bool is_recent(const Report& report) const;
 
   GatewayContext context_;
-  std::map<cluster::ControllerId, Report> reports_;  ///< the newest of each other controller
+  std::map<cluster::ControllerId, Report> reports_;  ///< newest report of each other controller
   overload::LoadRebalancer load_rebalancer_;
-  net::Duration busy_before_{};
-  net::Time measured_at_{};
+  net::Duration last_busy_{};
+  net::Time last_measured_at_{};
   std::uint64_t redirected_ = 0;
 };
 }  // namespace limemast::machines
--- a/src/machines/probe_service.cpp
+++ b/src/machines/probe_service.cpp
@@ -5,21 +5,22 @@
 namespace limemast::machines {
 namespace {
 using namespace std::chrono_literals;
-/// An unanswered pull is given up after this.
+/// An unanswered pull is abandoned after this time.
 constexpr auto kPullTimeout = 1s;
-/// How long a machine does not pull again for a job that has nothing for it now.
-constexpr auto kRetryOnMachine = 1s;
-/// A job that has nothing for any machine is not pulled for until its owner says that this has
-/// changed; or, should that message be lost, for this long.
-constexpr auto kRetryAnywhere = 5s;
+/// How long a machine does not pull for a job again after the job had no task for it.
+constexpr auto kMachineRetryDelay = 1s;
+/// How long no machine pulls for a job that had no task for any machine. The owner's message about
+/// new pending tasks ends the delay early, unless that message is lost.
+constexpr auto kJobRetryDelay = 5s;
 
-/// The map goes along where the owner's is older: on a thousand machines it outweighs all else.
+/// Attaches the map only if the owner's is older, because the map of a large cluster is much bigger
+/// than the rest of the message.
 void attach_newer_map(const LongTaskMap& map, const messages::MapVersion& known,
                       messages::ProbesRejected& rejected) {
-  LongTaskMap owners;
-  owners.epoch = known.epoch;
-  owners.serial = known.serial;
-  if (rejected.behind_long_tasks.empty() || !map.newer_than(owners)) return;
+  LongTaskMap owner_map;
+  owner_map.epoch = known.epoch;
+  owner_map.serial = known.serial;
+  if (rejected.behind_long_tasks.empty() || !map.newer_than(owner_map)) return;
   rejected.map = messages::ProbesRejected::NewerMap{
       {map.epoch, map.serial},
       {map.with_long_tasks, map.short_partition, map.reserved_for_services}};
@@ -27,8 +28,8 @@
 }  // namespace
 
 ProbeService::ProbeService(const GatewayContext& context, AttachedMachines& attached,
-                           PullEnded pull_ended)
-    : context_(context), attached_(attached), pull_ended_(std::move(pull_ended)) {
+                           OnPullEnded on_pull_ended)
+    : context_(context), attached_(attached), on_pull_ended_(std::move(on_pull_ended)) {
   using cluster::ControllerId;
   context_.message_bus.on<messages::PlaceProbes>(
       [this](const ControllerId& from, const auto& message) { on_place_probes(from, message); });
@@ -72,8 +73,7 @@
   const auto now = context_.runtime.now();
   const auto free = free_resources(machine);
   const auto fits = [&](const Resources& need) { return free.fits(need); };
-  // Last resort: a class that is hardly served while others are gets the next room, whatever work
-  // it has left.
+  // Last resort: jobs of underserved classes are chosen first, regardless of their remaining work.
   const auto& underserved = context_.registry.underserved_classes();
   if (!underserved.empty()) {
     const auto is_underserved = [&](ids::DenseId id) {
@@ -109,7 +109,7 @@
   const auto free = free_resources(machine);
   probes->end_pull_of(uid);
   const auto job = jobs_with_probes_.find(uid);
-  if (!job || !probes->queue.holds(*job)) return;
+  if (!job || !probes->queue.has_probe(*job)) return;
   probes->queue.count_bypassed(*job, context_.runtime.now(),
                                [&](const Resources& need) { return free.fits(need); });
   if (const auto left = jobs_with_probes_.at(*job).remaining; left > 0)
@@ -126,13 +126,13 @@
     if (message.none_left) {
       if (probes) remove_probe(*probes, *job);
     } else if (message.on_any_machine) {
-      jobs_with_probes_.defer(*job, now + kRetryAnywhere);
+      jobs_with_probes_.defer(*job, now + kJobRetryDelay);
     } else if (probes) {
-      probes->queue.defer(*job, now + kRetryOnMachine);
+      probes->queue.defer(*job, now + kMachineRetryDelay);
     }
   }
   pull_next(machine);
-  if (!is_pulling(machine)) pull_ended_(machine);
+  if (!is_pulling(machine)) on_pull_ended_(machine);
 }
 
 void ProbeService::on_pending_tasks(const messages::PendingTasks& message) {
@@ -141,7 +141,7 @@
     if (entry.pending == 0) {
       remove_probes_of(entry.uid);
     } else if (const auto job = jobs_with_probes_.find(entry.uid)) {
-      // What it waited for may have come: its owner says so only when something has changed.
+      // The owner sends this message only after a change, so the job may have a task to pull now.
       jobs_with_probes_.set_remaining(*job, entry.pending);
       jobs_with_probes_.defer(*job, {});
     }
@@ -160,15 +160,15 @@
   messages::ProbesRejected rejected;
   rejected.uid = message.uid;
   rejected.stage = message.stage;
-  place(job, message, rejected);
+  place_probes(job, message, rejected);
   jobs_with_probes_.erase_if_unprobed(job);
   if (rejected.behind_long_tasks.empty() && rejected.otherwise.empty()) return;
   attach_newer_map(context_.registry.long_task_map(), message.map, rejected);
   context_.message_bus.send(from, rejected);
 }
 
-void ProbeService::place(ids::DenseId job, const messages::PlaceProbes& message,
-                         messages::ProbesRejected& rejected) {
+void ProbeService::place_probes(ids::DenseId job, const messages::PlaceProbes& message,
+                                messages::ProbesRejected& rejected) {
   for (const auto& machine : message.machines) {
     const auto* status = context_.registry.find(machine);
     if (!attached_.is_attached(status) || !context_.may_start_on(*status)) {
@@ -215,7 +215,7 @@
 void ProbeService::remove_probes_of(const std::string& uid) {
   const auto job = jobs_with_probes_.find(uid);
   if (!job) return;
-  // Copied: with its last probe the job is forgotten.
+  // Copied, because the job's record is erased with its last probe.
   const auto machines = jobs_with_probes_.machines_of(*job);
   machines.each([&](ids::DenseId machine) {
     if (auto* probes = find(context_.registry.name_of(machine))) remove_probe(*probes, *job);
@@ -224,7 +224,7 @@
 
 void ProbeService::remove_probes_of_lost_owners() {
   std::vector<std::string> lost;
-  for (const auto& [work, job] : jobs_with_probes_.by_work()) {
+  for (const auto& [work, job] : jobs_with_probes_.by_remaining_work()) {
     const auto& probed = jobs_with_probes_.at(job);
     if (!context_.membership.is_member(probed.owner)) lost.push_back(probed.uid);
   }
@@ -235,7 +235,7 @@
   const auto* probes = find(machine);
   if (!probes) return;
   std::map<cluster::ControllerId, std::vector<std::string>> dropped;  // by owner
-  for (const auto job : probes->queue.all()) {
+  for (const auto job : probes->queue.jobs()) {
     const auto& probed = jobs_with_probes_.at(job);
     dropped[probed.owner].push_back(probed.uid);
   }
@@ -244,7 +244,7 @@
   probes_.erase(machine);
 }
 
-void ProbeService::drop_from_withdrawn_machines() {
+void ProbeService::drop_probes_of_unavailable_machines() {
   const auto& registry = context_.registry;
   if (registry.draining())
     for (const auto& [machine, status] : registry.machine_statuses())
--- a/src/machines/probe_service.hpp
+++ b/src/machines/probe_service.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // Probe queues of the machines that are attached to this controller (the worker queues of Eagle),
-// and late binding: a machine with room pulls a task of the job at whose probe it has arrived, one
-// pull at a time for each machine.
+// and late binding: when a machine has free resources, this controller pulls a task of the next
+// probed job for it. Each machine has at most one pull in flight.
 #include <functional>
 #include <optional>
 #include <unordered_map>
@@ -14,38 +14,39 @@
 namespace limemast::machines {
 class ProbeService {
  public:
-  /// Called when a pull was answered without a task and no other one follows.
-  using PullEnded = std::function<void(const std::string& machine)>;
-  /// Handles `PlaceProbes`, `PendingTasks` and `NoTask`.
-  ProbeService(const GatewayContext& context, AttachedMachines& attached, PullEnded pull_ended);
+  /// Called when a pull was answered without a task and no further pull follows.
+  using OnPullEnded = std::function<void(const std::string& machine)>;
+  /// Registers the handlers of `PlaceProbes`, `PendingTasks` and `NoTask`.
+  ProbeService(const GatewayContext& context, AttachedMachines& attached,
+               OnPullEnded on_pull_ended);
 
-  /// Pulls a task for the machine if it has room for one that it holds a probe of.
+  /// Pulls a task for the machine if a task of one of its probed jobs fits.
   void pull_next(const std::string& machine);
   bool is_pulling(const std::string& machine) const;
-  /// The pull for a task of this job was answered with one, which takes the place of the pull.
+  /// Called when the machine's pull for this job was answered with a task. Ends the pull.
   void on_task_pulled(const std::string& machine, const std::string& uid);
-  /// What can be given to new tasks on the machine: unused by those that run, by starts under way
-  /// and by the pull.
+  /// Resources for new tasks on the machine: not used by its live tasks, by starts in flight or by
+  /// the task that is being pulled.
   Resources free_resources(const std::string& machine) const;
 
-  /// Removes all probes of the machine and tells their owners, who place them elsewhere.
+  /// Removes all probes of the machine and notifies their owners, which place them elsewhere.
   void drop_probes(const std::string& machine);
-  /// Drops the probes of machines that short jobs may not use any more: drained ones, and those
-  /// that are reserved for services.
-  void drop_from_withdrawn_machines();
-  /// The job has ended or has no task left.
+  /// Drops the probes of machines that short jobs may no longer use: drained ones and those
+  /// reserved for services.
+  void drop_probes_of_unavailable_machines();
+  /// Called when the job has ended or has no pending tasks.
   void remove_probes_of(const std::string& uid);
-  /// Removes probes whose owner is no member any more: the job's new owner places its own.
+  /// Removes probes whose owner is no longer a member. The job's new owner places new probes.
   void remove_probes_of_lost_owners();
 
  private:
-  /// A task that the machine has asked a job's owner for.
+  /// A request for a task of a job, sent to the job's owner.
   struct Pull {
     std::string uid;
     net::Time sent_at{};
     Resources need;
   };
-  /// Present only for machines that hold probes or have held some.
+  /// The probes of one machine. Created with its first probe, and erased when they are dropped.
   struct MachineProbes {
     scheduling::ProbeQueue queue;
     std::optional<Pull> pull;
@@ -62,11 +63,11 @@
 
   MachineProbes* find(const std::string& machine);
   const MachineProbes* find(const std::string& machine) const;
-  void place(ids::DenseId job, const messages::PlaceProbes& message,
-             messages::ProbesRejected& rejected);
-  /// It has a long task or is to get one.
+  void place_probes(ids::DenseId job, const messages::PlaceProbes& message,
+                    messages::ProbesRejected& rejected);
+  /// Whether the machine has a long task, will start one, or is reserved for services.
   bool is_closed_to_short_jobs(const MachineStatus& status, const CommandQueue& commands) const;
-  /// False if the machine's queue is full.
+  /// Returns false if the machine's queue is full.
   bool add_probe(const std::string& machine, ids::DenseId job);
   void remove_probe(MachineProbes& probes, ids::DenseId job);
   std::optional<ids::DenseId> choose_job(const std::string& machine,
@@ -74,8 +75,8 @@
 
   GatewayContext context_;
   AttachedMachines& attached_;
-  PullEnded pull_ended_;
-  scheduling::ProbeTable jobs_with_probes_;  ///< before the queues, which refer to it
+  OnPullEnded on_pull_ended_;
+  scheduling::ProbeTable jobs_with_probes_;  ///< declared before the queues that refer to it
   std::unordered_map<std::string, MachineProbes> probes_;
 };
 }  // namespace limemast::machines
--- a/src/machines/registry.cpp
+++ b/src/machines/registry.cpp
@@ -5,8 +5,9 @@
 namespace limemast::machines {
 namespace {
 using namespace std::chrono_literals;
-/// `detect_process_suspension` is called once a second or more often.
-constexpr auto kMaxCheckInterval = 2500ms;
+/// A longer gap between two calls of `detect_process_suspension` counts as a suspension; callers
+/// check at least once a second.
+constexpr auto kMaxSuspensionCheckInterval = 2500ms;
 }  // namespace
 
 MachineStatus& Registry::add_status(const wire::Heartbeat& heartbeat, net::Time now) {
@@ -31,36 +32,36 @@
   if (!is_new && !heartbeat.newer_than(known->second.heartbeat)) return false;
   auto& status = is_new ? add_status(heartbeat, now) : known->second;
   const bool notice_withdrawn = status.heartbeat.preemption_notice && !heartbeat.preemption_notice;
-  // The controller that it was attached to before may be suspected.
+  // The previous controller may be suspected, and then the machine did not accept tasks until now.
   const bool moved = !is_new && status.attached_controller != controller;
   if (notice_withdrawn || moved) ++capacity_version_;
   const bool same_tasks = !is_new && status.heartbeat.tasks == heartbeat.tasks;
-  if (!same_tasks) count(status.heartbeat, heartbeat);
+  if (!same_tasks) update_task_counts(status.heartbeat, heartbeat);
   status.heartbeat = heartbeat;
   status.attached_controller = controller;
   status.last_heartbeat = now;
-  if (!same_tasks || !status.evaluated) evaluate(status);
+  if (!same_tasks || !status.resources_known) compute_resources(status);
   return true;
 }
 
-void Registry::evaluate(MachineStatus& machine_status) const {
+void Registry::compute_resources(MachineStatus& machine_status) const {
   machine_status.free = {};
   machine_status.has_long_tasks = false;
-  machine_status.evaluated = machine_status.type != nullptr;
+  machine_status.resources_known = machine_status.type != nullptr;
   if (!machine_status.type) return;
   auto free = Resources::of(*machine_status.type);
   for (const auto& task : machine_status.heartbeat.tasks) {
     if (task.exited()) continue;
     const auto* job = jobs_.find(task.uid);
     if (!job || !job->spec_known) {
-      machine_status.evaluated = false;
+      machine_status.resources_known = false;
       continue;
     }
     free -= Resources::of(job->spec);
     machine_status.has_long_tasks = machine_status.has_long_tasks || job->is_long;
   }
-  // Nothing is free while the needs of some task are unknown.
-  if (machine_status.evaluated) machine_status.free = free;
+  // While the resource request of a task is unknown, nothing counts as free.
+  if (machine_status.resources_known) machine_status.free = free;
 }
 
 void Registry::record_contact(const std::string& machine, net::Time now) {
@@ -69,9 +70,10 @@
 }
 
 void Registry::detect_process_suspension(net::Time now) {
-  if (last_clock_check_ != net::Time{} && now - last_clock_check_ > kMaxCheckInterval)
+  if (last_suspension_check_ != net::Time{} &&
+      now - last_suspension_check_ > kMaxSuspensionCheckInterval)
     peers_connected_since_ = now;
-  last_clock_check_ = now;
+  last_suspension_check_ = now;
 }
 
 std::vector<std::string> Registry::apply_registration_record(const std::string& record,
@@ -85,9 +87,9 @@
   std::vector<std::string> unregistered;
   for (const auto& [name, spot] : before) {
     if (after.contains(name)) continue;
-    auto it = registered_.find(name);
-    if (it == registered_.end() || --it->second.records > 0) continue;
-    registered_.erase(it);
+    auto it = registrations_.find(name);
+    if (it == registrations_.end() || --it->second.records > 0) continue;
+    registrations_.erase(it);
     unregistered.push_back(name);
   }
   if (after.empty()) records_.erase(record);
@@ -95,7 +97,7 @@
 }
 
 void Registry::register_machine(const std::string& machine, bool spot, ids::EpochNumber epoch) {
-  auto [it, is_new] = registered_.try_emplace(machine);
+  auto [it, is_new] = registrations_.try_emplace(machine);
   auto& registration = it->second;
   if (is_new) registration.epoch = epoch;
   ++registration.records;
@@ -145,8 +147,8 @@
   return it == machine_statuses_.end() ? nullptr : &it->second;
 }
 
-void Registry::count(const wire::Heartbeat& before, const wire::Heartbeat& after) {
-  // Most tasks are as they were: only those between the first and the last difference are counted.
+void Registry::update_task_counts(const wire::Heartbeat& before, const wire::Heartbeat& after) {
+  // Most tasks are unchanged: only those between the first and the last difference are counted.
   auto old_first = before.tasks.begin();
   auto old_last = before.tasks.end();
   auto new_first = after.tasks.begin();
@@ -160,44 +162,44 @@
     --old_last;
     --new_last;
   }
-  // New ones first: a job that has tasks before and after keeps its entry.
+  // Additions come first, so that the entry of a job with tasks in both heartbeats is not erased.
   for (; new_first != new_last; ++new_first)
-    if (!new_first->exited()) count_task(after.machine, *new_first);
+    if (!new_first->exited()) add_to_task_counts(after.machine, *new_first);
   for (; old_first != old_last; ++old_first)
-    if (!old_first->exited()) uncount_task(*old_first);
+    if (!old_first->exited()) remove_from_task_counts(*old_first);
 }
 
-void Registry::count_task(const std::string& machine, const wire::TaskStatus& task) {
+void Registry::add_to_task_counts(const std::string& machine, const wire::TaskStatus& task) {
   const bool is_running = task.phase == wire::TaskPhase::Running;
-  auto& count = counts_[task.uid];
+  auto& count = task_counts_[task.uid];
   ++count.live;
   if (!is_running) return;
   ++count.running;
   if (const auto* job = jobs_.find(task.uid)) images_[machine].insert(job->spec.image);
 }
 
-void Registry::uncount_task(const wire::TaskStatus& task) {
-  auto counted = counts_.find(task.uid);
+void Registry::remove_from_task_counts(const wire::TaskStatus& task) {
+  auto counted = task_counts_.find(task.uid);
   auto& count = counted.value();
   if (task.phase == wire::TaskPhase::Running) --count.running;
-  if (--count.live == 0) counts_.erase(counted);
+  if (--count.live == 0) task_counts_.erase(counted);
 }
 
 std::uint32_t Registry::running_tasks(const std::string& uid) const {
-  auto it = counts_.find(uid);
-  return it == counts_.end() ? 0 : it->second.running;
+  auto it = task_counts_.find(uid);
+  return it == task_counts_.end() ? 0 : it->second.running;
 }
 
 void Registry::remove(const std::string& machine) {
   if (const auto* machine_status = find(machine)) {
-    count(machine_status->heartbeat, {});
+    update_task_counts(machine_status->heartbeat, {});
     by_id_[machine_status->id] = nullptr;
     long_task_map_.closed_to_short_jobs.erase(machine_status->id);
     long_task_map_.in_short_partition.erase(machine_status->id);
   }
   ids_.release(machine);
   machine_statuses_.erase(machine);
-  registered_.erase(machine);
+  registrations_.erase(machine);
   cordoned_.erase(machine);
   images_.erase(machine);
   removed_.insert(machine);
@@ -208,7 +210,7 @@
   for (auto& t : types) types_.emplace(t.name, std::move(t));
   for (auto& [name, machine_status] : machine_statuses_) {
     machine_status.type = type(machine_status.heartbeat.type);
-    evaluate(machine_status);
+    compute_resources(machine_status);
   }
   ++capacity_version_;
 }
@@ -237,17 +239,17 @@
 }
 
 Resources Registry::free_resources(const MachineStatus& machine_status) const {
-  if (machine_status.evaluated) return machine_status.free;
-  auto evaluated = machine_status;
-  evaluate(evaluated);
-  return evaluated.free;
+  if (machine_status.resources_known) return machine_status.free;
+  auto computed = machine_status;
+  compute_resources(computed);
+  return computed.free;
 }
 
 bool Registry::has_long_tasks(const MachineStatus& machine_status) const {
-  if (machine_status.evaluated) return machine_status.has_long_tasks;
-  auto evaluated = machine_status;
-  evaluate(evaluated);
-  return evaluated.has_long_tasks;
+  if (machine_status.resources_known) return machine_status.has_long_tasks;
+  auto computed = machine_status;
+  compute_resources(computed);
+  return computed.has_long_tasks;
 }
 
 bool Registry::has_image(const std::string& machine, const std::string& image) const {
--- a/src/machines/start_resolver.cpp
+++ b/src/machines/start_resolver.cpp
@@ -3,8 +3,8 @@
 namespace limemast::machines {
 namespace {
 using namespace std::chrono_literals;
-/// Longer than any message between controllers is on its way.
-constexpr auto kRefusalKept = 120s;
+/// Exceeds the longest time that a message between controllers may be in flight.
+constexpr auto kRefusalRetention = 120s;
 }  // namespace
 
 StartResolver::StartResolver(const GatewayContext& context, AttachedMachines& attached)
@@ -49,7 +49,7 @@
 }
 
 void StartResolver::forget_old_refusals() {
-  const auto limit = context_.runtime.now() - kRefusalKept;
+  const auto limit = context_.runtime.now() - kRefusalRetention;
   std::erase_if(refused_, [&](const auto& refused) { return refused.second < limit; });
 }
 
@@ -59,9 +59,10 @@
   const auto* status = context_.registry.find(machine);
   const auto* entry = attached_.find(machine);
   if (entry && entry->commands.has_start(message)) {
-    // It waits for a token above the one that it was sent with. The controller that the machine
-    // reports to by now may not know of that token, if the broadcast was lost or came while the
-    // machine moved; then no heartbeat would ever resolve the start, so it is broadcast again.
+    // The start is resolved by a heartbeat with a higher token than the one that it was sent with.
+    // The controller to which the machine is attached now may not know that token, because the
+    // broadcast was lost or came while the machine moved. No heartbeat would then resolve the
+    // start, so the token is broadcast again.
     if (status && !attached_.is_attached(status) &&
         status->heartbeat.fencing_token < entry->token_floor.command_floor())
       attached_.broadcast_token_floor(machine);
@@ -72,8 +73,8 @@
   start.owner = from;
   const bool arrived = status && status->heartbeat.incarnation == message.incarnation &&
                        status->heartbeat.find(message.uid, message.index, message.attempt);
-  // The start may still be on its way to this controller: once it is reported as not arrived it
-  // must not be carried out.
+  // The start may still be on its way to this controller. Once it is reported as not arrived, it
+  // must never be sent to the machine.
   if (!arrived) return refuse(machine, start);
   report(machine, start, true);
 }
--- a/src/machines/start_resolver.hpp
+++ b/src/machines/start_resolver.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Tells the owners of jobs what has become of the start commands that this controller delivers.
+// Reports to job owners whether the start commands that this controller delivers have arrived.
 #include <functional>
 #include <map>
 
@@ -7,26 +7,27 @@
 #include "messages/tasks.hpp"
 
 namespace limemast::machines {
-/// Each start is reported to its owner exactly once: as arrived, or as one that never will be. The
-/// second holds also for a start that comes late: its attempt is remembered and refused.
+/// Reports each start to its owner exactly once, as arrived or as never arriving. An attempt that
+/// was reported as never arriving is remembered, so that a start of it that comes late is refused.
 class StartResolver {
  public:
-  /// Handles `QueryStart`.
+  /// Registers the handler of `QueryStart`.
   StartResolver(const GatewayContext& context, AttachedMachines& attached);
 
-  /// Resolves what the newest heartbeat of the machine proves. `sent_by_worker`: see
-  /// `resolve_delivery`.
+  /// Resolves the starts about which the machine's newest heartbeat proves something.
+  /// `sent_by_worker`: see `resolve_delivery`.
   void on_heartbeat(const std::string& machine, bool sent_by_worker);
 
   using Matches = std::function<bool(const InFlightStart&)>;
-  /// Ends starts of the machine that were not sent and never will be.
+  /// Removes the matching starts that were not sent, and reports them as never arriving.
   void cancel_queued(const std::string& machine, CommandQueue& commands, const Matches& matches);
-  /// Ends starts of the machine that will not be executed, sent or not.
+  /// Removes the matching starts, sent or not, and reports them as never arriving. The caller knows
+  /// that the worker will not execute them.
   void fail(const std::string& machine, CommandQueue& commands, const Matches& matches);
-  /// Refuses a start that was asked for; its attempt is refused from now on.
+  /// Reports the start as never arriving and refuses all later starts of its attempt.
   void refuse(const std::string& machine, const InFlightStart& start);
   bool is_refused(const TaskAttempt& attempt) const { return refused_.contains(attempt); }
-  /// Forgets refused attempts that are too old to come again.
+  /// Forgets refused attempts for which no start can still be in flight.
   void forget_old_refusals();
 
  private:
@@ -35,7 +36,8 @@
 
   GatewayContext context_;
   AttachedMachines& attached_;
-  /// Attempts that were reported as not arrived though their start may yet come, and since when.
+  /// Attempts that were reported as not arrived although a start of them may still come, and when
+  /// they were refused.
   std::map<TaskAttempt, net::Time> refused_;
 };
 }  // namespace limemast::machines
--- a/src/machines/task_attempt.hpp
+++ b/src/machines/task_attempt.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Identity of one attempt at one task, as commands, heartbeats and messages name it.
+// The identity of one attempt at a task in commands, heartbeats and messages.
 #include <compare>
 #include <cstdint>
 #include <string>
@@ -7,8 +7,8 @@
 #include "wire/worker.hpp"
 
 namespace limemast::machines {
-/// One attempt at the task `index` of the job `uid`. Attempts are numbered by the job's owner and
-/// no number is used twice, also after a change of the owner.
+/// One attempt at the task `index` of the job `uid`. The job's owner numbers the attempts. No
+/// number is used twice, even after the job's owner changes.
 struct TaskAttempt {
   std::string uid;
   std::uint32_t index = 0;
@@ -28,7 +28,7 @@
   return left.index == right.index && left.attempt == right.attempt && left.uid == right.uid;
 }
 
-/// A command of this kind for the attempt that `source` names; a stop gives it no time to save.
+/// A command of this kind for the attempt that `source` names. A stop has a grace period of 0 s.
 template <class Source>
 wire::Command command_for(wire::CommandKind kind, const Source& source) {
   return {kind, source.uid, source.index, source.attempt, wire::Seconds(0)};
--- a/src/machines/unknown_job_lookup.cpp
+++ b/src/machines/unknown_job_lookup.cpp
@@ -3,11 +3,12 @@
 namespace limemast::machines {
 namespace {
 using namespace std::chrono_literals;
+/// Minimum time between two lookups of a job.
 constexpr auto kRetryAfter = 2s;
 }  // namespace
 
-UnknownJobLookup::UnknownJobLookup(const GatewayContext& context, Ended ended)
-    : context_(context), ended_(std::move(ended)) {}
+UnknownJobLookup::UnknownJobLookup(const GatewayContext& context, OnEnded on_ended)
+    : context_(context), on_ended_(std::move(on_ended)) {}
 
 void UnknownJobLookup::look_up(const std::string& uid) {
   const auto now = context_.runtime.now();
@@ -31,6 +32,6 @@
 }
 
 void UnknownJobLookup::mark_ended(const std::string& uid, const wire::json* record) {
-  if (context_.jobs.mark_final(uid, context_.runtime.now(), record)) ended_(uid);
+  if (context_.jobs.mark_final(uid, context_.runtime.now(), record)) on_ended_(uid);
 }
 }  // namespace limemast::machines
--- a/src/machines/worker_gateway.cpp
+++ b/src/machines/worker_gateway.cpp
@@ -1,7 +1,7 @@
 #include "machines/worker_gateway.hpp"
 
 namespace limemast::machines {
-WorkerGateway::WorkerGateway(const GatewayContext& context, HeartbeatHandler::Updated updated)
+WorkerGateway::WorkerGateway(const GatewayContext& context, HeartbeatHandler::OnUpdate on_update)
     : context_(context),
       attached_(context),
       probes_(context, attached_,
@@ -20,7 +20,7 @@
       heartbeats_(context,
                   {attached_, probes_, starts_, responder_, dispatcher_, forwarder_, peer_loads_,
                    registration_},
-                  std::move(updated)),
+                  std::move(on_update)),
       adoption_(context, attached_, forwarder_, heartbeats_) {}
 
 void WorkerGateway::handle_heartbeat(const wire::Heartbeat& heartbeat, net::Responder respond) {
@@ -29,9 +29,9 @@
 
 void WorkerGateway::on_epoch_changed(bool member_lost) {
   for (auto& [machine, entry] : attached_.all()) {
-    // Jobs that were taken over wait until every machine has shown the new token. Heartbeats would
-    // bring it within an interval and a quarter; the response to a direct request, though it
-    // carries no command, brings it at once.
+    // The failover of jobs completes only after every machine has shown the new token. A heartbeat
+    // would show it within 1.25 heartbeat intervals. The response to a direct request shows it at
+    // once, even if the request carries no command.
     if (member_lost) direct_.request_token(machine, entry);
     dispatcher_.drop_starts_of_lost_owners(entry);
   }
@@ -43,9 +43,9 @@
 
 void WorkerGateway::tick() {
   context_.registry.detect_process_suspension(context_.runtime.now());
-  probes_.drop_from_withdrawn_machines();
+  probes_.drop_probes_of_unavailable_machines();
   const double own_load = peer_loads_.measure_own_load();
-  forwarder_.announce_heard(own_load);
+  forwarder_.announce_received_heartbeats(own_load);
   peer_loads_.detect_silent_members();
   peer_loads_.plan_redirects(attached_.all().size(), own_load);
 }
--- a/src/machines/worker_gateway.hpp
+++ b/src/machines/worker_gateway.hpp
@@ -1,31 +1,33 @@
 #pragma once
-// Everything between this controller and the workers of the machines that are attached to it.
+// Communication between this controller and the workers of the machines attached to it.
 #include "machines/orphaned_machine_adoption.hpp"
 
 namespace limemast::machines {
-/// Wires the parts together and passes on to them what the controller instance tells. All of it
-/// runs on the event loop's thread.
+/// Connects the parts of the gateway and forwards the controller instance's calls to them. Runs on
+/// the event loop's thread.
 class WorkerGateway {
  public:
-  /// What is passed in outlives the gateway. `updated`: see `HeartbeatHandler::Updated`.
-  WorkerGateway(const GatewayContext& context, HeartbeatHandler::Updated updated);
+  /// The objects in `context` outlive the gateway. `on_update`: see `HeartbeatHandler::OnUpdate`.
+  WorkerGateway(const GatewayContext& context, HeartbeatHandler::OnUpdate on_update);
 
-  /// A worker's POST /hello. Responds at once or within some tens of milliseconds.
+  /// Handles a worker's POST /hello. Responds at once or after some tens of milliseconds.
   void handle_heartbeat(const wire::Heartbeat& heartbeat, net::Responder respond);
-  /// A new membership epoch was read. `member_lost`: one of the epoch before is no member any more.
+  /// Called when a new membership epoch was read. `member_lost`: whether a member of the previous
+  /// epoch is no longer a member.
   void on_epoch_changed(bool member_lost);
-  /// To be called once a second.
+  /// Must be called once a second.
   void tick();
-  /// Has the members ask registered machines, of which nobody has had a heartbeat, for one.
+  /// Lets the members request heartbeats from registered machines from which no controller has
+  /// received one.
   void adopt_machines_without_heartbeat(const std::vector<MachineAddress>& machines);
-  /// The machine was terminated: it and all on it are gone.
+  /// Called when the machine was terminated: drops its probes, commands and pending response.
   void on_machine_removed(const std::string& machine);
-  /// The job has ended: no task of it may start, and those that run are stopped.
+  /// Called when the job has ended: no task of it may start, and running ones are stopped.
   void on_job_ended(const std::string& uid);
 
-  /// Some other controller has told recently that the state service serves it.
+  /// Whether another controller has recently reported that the state service is available to it.
   bool any_peer_reaches_store() const { return peer_loads_.any_peer_reaches_store(); }
-  /// Machines sent to a less loaded controller so far.
+  /// Number of machines redirected to a less loaded controller so far.
   std::uint64_t redirected() const { return peer_loads_.redirected(); }
 
  private:
--- a/src/machines/worker_requests.cpp
+++ b/src/machines/worker_requests.cpp
@@ -13,7 +13,7 @@
   return {"POST", kCommandPath, body.dump()};
 }
 
-std::optional<wire::Heartbeat> heartbeat_in(const net::HttpResult& result) {
+std::optional<wire::Heartbeat> heartbeat_from_response(const net::HttpResult& result) {
   const auto body = wire::json::parse(result.body, nullptr, false);
   return body.is_object() ? wire::parse_heartbeat(body) : std::nullopt;
 }
--- a/src/machines/worker_requests.hpp
+++ b/src/machines/worker_requests.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Requests to workers and what their responses tell.
+// Encodes requests to workers and decodes their responses.
 #include <optional>
 #include <vector>
 
@@ -10,11 +10,12 @@
 /// How long a worker may take to answer a request.
 inline constexpr auto kWorkerRequestTimeout = std::chrono::seconds(2);
 
-/// The request that has a worker of this incarnation execute the commands at once, in order. Empty
-/// `commands` only show it the fencing token.
+/// A request to the worker of this incarnation to execute the commands at once, in order. With
+/// empty `commands` it only shows the worker the fencing token.
 net::HttpRequest command_request(std::uint64_t incarnation, ids::FencingToken token,
                                  const std::vector<wire::Command>& commands);
 
-/// The heartbeat in the body of a worker's response; nullopt if there is none that can be read.
-std::optional<wire::Heartbeat> heartbeat_in(const net::HttpResult& result);
+/// The heartbeat in the body of a worker's response; nullopt if the body contains no valid
+/// heartbeat.
+std::optional<wire::Heartbeat> heartbeat_from_response(const net::HttpResult& result);
 }  // namespace limemast::machines
--- a/src/scheduling/placement.hpp
+++ b/src/scheduling/placement.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Centralized placement of long tasks, and the partition that short jobs have for themselves (Eagle
-// section 3). Pure functions; the leader calls them.
+// Centralized placement of long tasks, and the partition that is reserved for short jobs (Eagle
+// section 3). Pure functions that the leader calls.
 #include <optional>
 #include <string>
 #include <vector>
@@ -8,20 +8,19 @@
 #include "wire/job.hpp"
 
 namespace limemast::scheduling {
-/// A machine that could take a long task now.
+/// A machine with enough free resources for a long task.
 struct Candidate {
   bool spot = false;
-  bool short_partition = false;  ///< it belongs to the short-job partition
-  wire::Seconds delay{0};        ///< until the task could start: the fetch of its image
-  double price = 0;              ///< what the machine costs per unit of its size
-  double fill_after = 0;         ///< share of the machine in use once the task is there
+  bool short_partition = false;  ///< whether it belongs to the short-job partition
+  wire::Seconds delay{0};        ///< time until the task can start: the fetch of its image
+  double price = 0;              ///< price of the machine per unit of its size
+  double fill_after = 0;         ///< share of the machine, 0 to 1, in use with the task on it
 };
 
-/// Index of the candidate that the task is placed on: spot machines first, then where it starts
-/// soonest (the machines that have room differ by the image fetch only), then the fullest, so that
-/// idle ones can be terminated, then the cheapest. Delays within the same multiple of
-/// `indifference` count as equal; 0: all differences count. Machines of the short-job partition are
-/// never chosen; nullopt if there are no others.
+/// Returns the index of the candidate for the task. Prefers spot machines, then the soonest start,
+/// then the fullest machine, so that idle machines can be terminated, then the cheapest one. Delays
+/// within the same multiple of `indifference` count as equal; with 0, all differences count. Never
+/// chooses a machine of the short-job partition; nullopt if there are no other candidates.
 std::optional<std::size_t> choose_machine(const std::vector<Candidate>& candidates,
                                           wire::Seconds indifference);
 
@@ -29,14 +28,14 @@
 struct PartitionCandidate {
   std::string machine;
   bool has_long_tasks = false;
-  bool in_short_partition = false;  ///< it belongs to it now
+  bool in_short_partition = false;  ///< whether it belongs to the partition now
   bool spot = false;
 };
 
-/// The machines of the short-job partition: `share` (0 to 1) of all, rounded up, fewer if too many
-/// have long tasks. Spot machines come first, as services may not use them: an on-demand machine
-/// that got in while there was no other would be lost to services for as long as it runs. Then
-/// machines that belong to it already.
+/// Chooses the machines of the short-job partition: `share` (0 to 1) of all machines, rounded up,
+/// or fewer if too many have long tasks. Prefers spot machines, because services cannot use them
+/// and an on-demand machine in the partition is not available to services. Among equals, it prefers
+/// machines that already belong to the partition.
 std::vector<std::string> choose_short_partition(std::vector<PartitionCandidate> machines,
                                                 double share);
 }  // namespace limemast::scheduling
--- a/src/scheduling/probe_table.cpp
+++ b/src/scheduling/probe_table.cpp
@@ -13,17 +13,17 @@
   }
   if (id >= records_.size()) records_.resize(id + 1);
   records_[id] = {job, {}};
-  by_work_.insert({job.work(), id});
+  by_remaining_work_.insert({job.remaining_work(), id});
   return id;
 }
 
 void ProbeTable::set_remaining(DenseId job, std::uint32_t remaining) {
   auto& record = records_[job].job;
   if (record.remaining == remaining) return;
-  auto node = by_work_.extract({record.work(), job});
+  auto node = by_remaining_work_.extract({record.remaining_work(), job});
   record.remaining = remaining;
-  node.value() = {record.work(), job};
-  by_work_.insert(std::move(node));
+  node.value() = {record.remaining_work(), job};
+  by_remaining_work_.insert(std::move(node));
 }
 
 void ProbeTable::remove_machine(DenseId job, DenseId machine) {
@@ -34,7 +34,7 @@
 void ProbeTable::erase_if_unprobed(DenseId job) {
   auto& record = records_[job];
   if (!record.machines.empty()) return;
-  by_work_.erase({record.job.work(), job});
+  by_remaining_work_.erase({record.job.remaining_work(), job});
   ids_.release(record.job.uid);
   record = {};
 }
--- a/src/scheduling/probing.hpp
+++ b/src/scheduling/probing.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// How many machines a short job probes, and which ones (batch sampling, Eagle section 3).
+// Chooses how many machines a short job probes, and which ones (batch sampling, Eagle section 3).
 #include <algorithm>
 #include <cstdint>
 #include <iterator>
@@ -7,13 +7,13 @@
 #include <vector>
 
 namespace limemast::scheduling {
-/// How many probes a job with `tasks` unassigned tasks sends: max(`min_probes`, 2 * `tasks`), yet
-/// at most one per machine. A probe stays until the job has no tasks left (section 4.1), so that a
-/// second one on the same machine would gain nothing.
+/// Number of probes for a job with `tasks` unassigned tasks: max(`min_probes`, 2 * `tasks`), but at
+/// most one per machine. A probe stays until the job has no pending tasks (section 4.1), so a
+/// second one on the same machine would be useless.
 std::size_t probe_count(std::uint32_t tasks, std::uint32_t min_probes, std::size_t machines);
 
-/// `count` different elements of `from`, or all if there are fewer, drawn uniformly and in random
-/// order.
+/// Returns `count` distinct elements of `from`, or all if there are fewer, sampled uniformly and in
+/// random order.
 template <class T>
 std::vector<T> random_sample(std::vector<T> from, std::size_t count, std::mt19937_64& random) {
   std::vector<T> out;
--- a/tests/machines/registry_test.cpp
+++ b/tests/machines/registry_test.cpp
@@ -19,7 +19,7 @@
     type.ram_gb = 16;
     registry_.set_types({type});
   }
-  /// Makes the job known to the controller; each of its tasks takes 2 CPUs and 1 GB.
+  /// Adds the job to the job directory; each of its tasks takes 2 CPUs and 1 GB.
   void put_job(const std::string& uid, bool is_long) {
     wire::JobSpec spec;
     spec.uid = uid;
@@ -35,7 +35,7 @@
   }
   simulation::SimulatedWorld world_{1};
   wire::Settings settings_ = simulation::settings_for_tests();
-  /// Does nothing: nobody is a member here, and no timer fires.
+  /// A runtime that does nothing: there are no other members, and no timer fires.
   struct Runtime final : net::Runtime {
     net::Time now() const override { return {}; }
     net::WallTime wall() const override { return {}; }
@@ -56,8 +56,8 @@
   Registry registry_{job_directory_};
 };
 
-/// Random heartbeats of some machines that run tasks of twelve jobs, some of them unknown at first,
-/// and the figures recomputed from all newest heartbeats.
+/// Applies random heartbeats of machines with tasks of twelve jobs, some of which are unknown at
+/// first, and recomputes the registry's figures from all newest heartbeats.
 class RegistryRandomHistoryTest : public RegistryTest {
  protected:
   static constexpr unsigned kJobs = 12;
@@ -109,7 +109,7 @@
   std::map<std::string, std::uint64_t> sequences_;
 };
 
-TEST_F(RegistryRandomHistoryTest, FiguresKeptUpToDateEqualRecomputedOnes) {
+TEST_F(RegistryRandomHistoryTest, IncrementalFiguresEqualRecomputedFigures) {
   unsigned known_jobs = 0;
   for (int step = 0; step < 2000; ++step) {
     SCOPED_TRACE("step " + std::to_string(step));
@@ -130,7 +130,7 @@
   }
 }
 
-// A machine that two controllers heard in turn may be named by two records.
+// Two records may name a machine that was attached to two controllers in turn.
 TEST_F(RegistryTest, MachineIsUnregisteredWithItsLastRecord) {
   EXPECT_TRUE(
       registry_.apply_registration_record("w/machine/a", {{"m1", false}, {"m2", true}}).empty());
--- a/tests/scheduling/placement_test.cpp
+++ b/tests/scheduling/placement_test.cpp
@@ -46,8 +46,8 @@
   EXPECT_TRUE(choose_short_partition({{"a", true, true, true}}, 0.5).empty());
 }
 
-// On-demand machines that got into the partition before there were spot ones once stayed in it for
-// good, and services lacked them.
+// Services must not lose on-demand machines for good that joined the partition before there were
+// spot machines.
 TEST(ShortJobPartitionTest, ReplacesOnDemandMachinesBySpotMachines) {
   EXPECT_EQ(choose_short_partition(
                 {{"on-demand", false, true, false}, {"spot", false, false, true}}, 0.5),
--- a/tests/scheduling/probe_queue_test.cpp
+++ b/tests/scheduling/probe_queue_test.cpp
@@ -11,8 +11,7 @@
 namespace {
 using namespace std::chrono_literals;
 constexpr double kBypassCap = 5;
-/// Everything fits.
-constexpr auto kAny = [](const Resources&) { return true; };
+constexpr auto kAnyNeedFits = [](const Resources&) { return true; };
 
 ProbedJob job(const std::string& uid, double estimate, std::uint32_t remaining, double cpus = 1) {
   ProbedJob probed;
@@ -26,15 +25,15 @@
 
 class ProbeQueueTest : public ::testing::Test {
  protected:
-  /// Adds a probe of a job whose tasks run for `estimate` seconds.
+  /// Adds a probe of a job whose tasks have an estimated run time of `estimate` seconds.
   DenseId add(const std::string& uid, double estimate, std::uint32_t remaining, double cpus = 1) {
     const auto id = table.upsert(job(uid, estimate, remaining, cpus));
     EXPECT_TRUE(queue.add(id));
     return id;
   }
-  /// The job that goes first; empty if there is none.
+  /// The uid of the job that is chosen next; empty if there is none.
   std::string next(net::Time now = {}) {
-    const auto id = queue.choose(now, kAny);
+    const auto id = queue.choose(now, kAnyNeedFits);
     return id ? table.at(*id).uid : "";
   }
   ProbeTable table;
@@ -54,10 +53,10 @@
   const auto bypasser = add("bypasser", 20, 4);
   int bypasses = 0;
   while (next() == "bypasser") {
-    queue.count_bypassed(bypasser, {}, kAny);
+    queue.count_bypassed(bypasser, {}, kAnyNeedFits);
     ASSERT_LT(++bypasses, 100);
   }
-  // The cap of 5 times its estimate of 10 s admits two tasks of 20 s, and no third.
+  // The cap of 5 times the estimate of 10 s allows two tasks of 20 s but not a third.
   EXPECT_EQ(bypasses, 2);
 }
 
@@ -69,9 +68,9 @@
   queue.defer(small, net::Time(5s));
   EXPECT_EQ(queue.choose(net::Time(4s), fits), std::nullopt);
   EXPECT_EQ(queue.choose(net::Time(5s), fits), small);
-  table.defer(small, net::Time(9s));  // on all machines
+  table.defer(small, net::Time(9s));  // defers the job on all machines
   EXPECT_EQ(queue.choose(net::Time(8s), fits), std::nullopt);
-  table.upsert(job("small", 50, 49));  // probed anew
+  table.upsert(job("small", 50, 49));  // new probes end the deferral
   EXPECT_EQ(queue.choose(net::Time(8s), fits), small);
 }
 
@@ -84,8 +83,8 @@
   EXPECT_FALSE(queue.add(table.upsert(job("one more", 1, 1))));
 }
 
-/// A straightforward queue for one machine with the same rules: a list of its own, searched from
-/// the front. The reference for what is chosen.
+/// A reference implementation of the queue with the same rules: a separate list that is searched
+/// from the front.
 struct ReferenceQueue {
   struct Probe {
     std::string uid;
@@ -123,7 +122,8 @@
   }
 };
 
-/// Random histories of two machines' queues beside two reference queues. The parameter is the seed.
+/// Applies the same random operations to the queues of two machines and to two reference queues.
+/// The parameter is the seed.
 class ProbeQueueRandomHistoryTest : public ::testing::TestWithParam<unsigned> {
  protected:
   static constexpr std::size_t kMachines = 2;
@@ -135,7 +135,7 @@
     const std::size_t count = 5 + below(300);
     for (std::size_t i = 0; i < count; ++i) {
       const auto uid = "wk-" + std::to_string(i);
-      // Few estimates and needs, as classes have: equal work is common.
+      // There are only a few different estimates and needs, so that jobs often have equal work.
       jobs[uid] = job(uid, static_cast<double>(1 + below(4) * 5),
                       static_cast<std::uint32_t>(below(GetParam() % 2 ? 6 : 400)),
                       static_cast<double>(1 + below(3)));
@@ -166,7 +166,7 @@
     if (const auto id = table.find(uid)) queues[machine]->defer(*id, until);
     if (auto* probe = references[machine].find(uid)) probe->not_before = until;
   }
-  /// Both choose the same job, and a task of it is taken.
+  /// Expects both queues to choose the same job, and takes a task of it.
   void take_next(std::size_t machine, net::Time now, double free_cpus) {
     auto& queue = *queues[machine];
     auto& reference = references[machine];
@@ -208,7 +208,7 @@
   std::size_t bypasses = 0;
 };
 
-TEST_P(ProbeQueueRandomHistoryTest, ChoosesWhatTheReferenceChooses) {
+TEST_P(ProbeQueueRandomHistoryTest, ChoosesSameJobAsReferenceQueue) {
   net::Time now{};
   for (int step = 0; step < 4000; ++step) {
     SCOPED_TRACE("step " + std::to_string(step));
@@ -223,8 +223,8 @@
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, ProbeQueueRandomHistoryTest, ::testing::Range(1u, 21u));
 
-// Nothing is kept of 100,000 ended jobs, and no id stands for two jobs at once.
-TEST(ProbeTableTest, ReusesIdsAndKeepsNothingOfEndedJobs) {
+// The tables must not grow with ended jobs, and an id must not be used for two jobs at once.
+TEST(ProbeTableTest, ReusesIdsAndErasesEndedJobs) {
   ProbeTable table;
   std::mt19937_64 random(5);
   std::map<std::string, DenseId> live;
@@ -239,18 +239,18 @@
     for (int k = 0; k < 4; ++k) queues[random() % queues.size()]->add(id);
     live[uid] = id;
     if (live.size() < 200) continue;
-    auto gone = std::next(live.begin(), static_cast<std::ptrdiff_t>(random() % live.size()));
-    ASSERT_EQ(table.at(gone->second).uid, gone->first);
-    ASSERT_EQ(names.name_of(*names.find(gone->first)), gone->first);
-    const auto machines = table.machines_of(gone->second);
-    machines.each([&](DenseId machine) { queues[machine]->remove(gone->second); });
-    names.release(gone->first);
-    live.erase(gone);
+    auto ended = std::next(live.begin(), static_cast<std::ptrdiff_t>(random() % live.size()));
+    ASSERT_EQ(table.at(ended->second).uid, ended->first);
+    ASSERT_EQ(names.name_of(*names.find(ended->first)), ended->first);
+    const auto machines = table.machines_of(ended->second);
+    machines.each([&](DenseId machine) { queues[machine]->remove(ended->second); });
+    names.release(ended->first);
+    live.erase(ended);
   }
   EXPECT_EQ(table.size(), live.size());
   EXPECT_EQ(names.size(), live.size());
   EXPECT_LE(names.bound(), 200u);
-  EXPECT_EQ(table.by_work().size(), live.size());
+  EXPECT_EQ(table.by_remaining_work().size(), live.size());
 }
 }  // namespace
 }  // namespace limemast::scheduling
--- a/tests/scheduling/probing_test.cpp
+++ b/tests/scheduling/probing_test.cpp
@@ -7,7 +7,7 @@
 
 namespace limemast::scheduling {
 namespace {
-TEST(ProbeCountTest, IsTwiceTheTasksWithinTheMinimumAndTheMachines) {
+TEST(ProbeCountTest, IsTwiceTheTasksBoundedByMinimumAndMachineCount) {
   EXPECT_EQ(probe_count(1, 4, 100), 4u);
   EXPECT_EQ(probe_count(10, 4, 100), 20u);
   EXPECT_EQ(probe_count(100'000, 4, 48), 48u);
