--- a/src/diagnostics/capacity_diagnosis.cpp
+++ b/src/diagnostics/capacity_diagnosis.cpp
@@ -144,7 +144,7 @@
   team_usage_at_ = now;
   team_usage_.clear();
   for (const auto& [uid, job] : job_directory_.all())
-    if (const double tasks = registry_.running(uid); tasks > 0 && job.spec_known)
+    if (const double tasks = registry_.running_tasks(uid); tasks > 0 && job.spec_known)
       team_usage_[job.spec.team] +=
           {tasks * job.spec.cpus, tasks * job.spec.ram_gb, tasks * job.spec.accelerators};
   return team_usage_;
--- a/src/jobs/heartbeat_reconciler.cpp
+++ b/src/jobs/heartbeat_reconciler.cpp
@@ -124,7 +124,8 @@
 
 void HeartbeatReconciler::clear_image_wait(const Job& job) {
   const auto& spec = job.record.spec;
-  if (pending_reasons_.enabled() && registry_.running(spec.uid) + job.completed_tasks >= spec.tasks)
+  if (pending_reasons_.enabled() &&
+      registry_.running_tasks(spec.uid) + job.completed_tasks >= spec.tasks)
     pending_reasons_.clear_if(spec.uid, diagnostics::PendingReason::FetchingImage, runtime_.now());
 }
 
@@ -193,7 +194,7 @@
   assignment.attempt = task.attempt;
   assignment.confirmed = heartbeat.fencing_token >= barrier_token;
   assignment.confirmed_sequence = heartbeat.sequence;
-  assignment.void_from_token = barrier_token;
+  assignment.min_resolving_token = barrier_token;
   assignment.running = task.runs();
   assignment.running_since = runtime_.now();
   spdlog::debug("job {} task {}: adopted from the heartbeat of machine {}, epoch {}", task.uid,
@@ -230,7 +231,7 @@
       "job {} task {}: assignment to machine {} ended (confirmed: {}, confirming heartbeat: {}, "
       "void from token: {}), epoch {}",
       job.record.spec.uid, index, released->machine, released->confirmed,
-      released->confirmed_sequence, released->void_from_token, membership_.epoch().number);
+      released->confirmed_sequence, released->min_resolving_token, membership_.epoch().number);
   auto observations = job.conflicting_observations.extract(index);
   if (requeue == Requeue::No) return;
   if (!observations.empty() &&
@@ -309,11 +310,11 @@
   const auto token = ids::FencingToken::base(membership_.epoch().number);
   for (const auto& [uid, job] : owned_jobs_.all())
     for (auto& [index, assignment] : job->assignments) {
-      if (assignment.confirmed || assignment.void_from_token != ids::kNoToken ||
+      if (assignment.confirmed || assignment.min_resolving_token != ids::kNoToken ||
           membership_.is_member(assignment.delivering_controller))
         continue;
-      assignment.void_from_token = token;
-      // The machine may have sent a heartbeat of the new epoch before this controller learned of
+      assignment.min_resolving_token = token;  // The machine may have sent a heartbeat of the new
+                                               // epoch before this controller learned of
       // the epoch.
       machines_to_reprocess_.insert(assignment.machine);
     }
--- a/src/jobs/job_completion.cpp
+++ b/src/jobs/job_completion.cpp
@@ -33,7 +33,7 @@
   std::erase(job.queue.released, index);
   job.completions.unsaved = true;
   if (job.completed_tasks == job.record.spec.tasks && job.active())
-    decide_final_phase(job, Phase ::Done);
+    decide_final_phase(job, Phase::Done);
 }
 
 void JobCompletion::cancel(const std::string& uid, std::function<void(std::optional<Phase>)> done) {
--- a/src/jobs/status_reader.cpp
+++ b/src/jobs/status_reader.cpp
@@ -50,7 +50,7 @@
 
 Status StatusReader::active_status(const std::string& uid) const {
   Status status;
-  status.running = registry_.running(uid);
+  status.running = registry_.running_tasks(uid);
   status.phase = status.running > 0 ? Phase::Running : Phase::Pending;
   return status;
 }
@@ -74,7 +74,7 @@
   const auto status = job_owner_.status(uid);
   // While the final record is being written, another controller may already have read it and
   // reported it to the user. Only the store knows the current state then.
-  if (!status || status->final_record_pending) return std ::nullopt;
+  if (!status || status->final_record_pending) return std::nullopt;
   const bool final = is_final(status->phase);
   if (final) cache_final_status(uid, *status);
   // If the lease may have expired, another controller may own the job by now. Only a final status,
--- a/src/scheduling/probe_table.cpp
+++ b/src/scheduling/probe_table.cpp
@@ -1,7 +1,7 @@
 #include "scheduling/probe_table.hpp"
 
 namespace limemast::scheduling {
-DenseId ProbeTable::put(const ProbedJob& job) {
+DenseId ProbeTable::upsert(const ProbedJob& job) {
   const bool known = ids_.find(job.uid).has_value();
   const auto id = ids_.take(job.uid);
   if (known) {
@@ -13,28 +13,28 @@
   }
   if (id >= records_.size()) records_.resize(id + 1);
   records_[id] = {job, {}};
-  by_work_.insert({job.work(), id});
+  by_remaining_work_.insert({job.remaining_work(), id});
   return id;
 }
 
 void ProbeTable::set_remaining(DenseId job, std::uint32_t remaining) {
   auto& record = records_[job].job;
   if (record.remaining == remaining) return;
-  auto node = by_work_.extract({record.work(), job});
+  auto node = by_remaining_work_.extract({record.remaining_work(), job});
   record.remaining = remaining;
-  node.value() = {record.work(), job};
-  by_work_.insert(std::move(node));
+  node.value() = {record.remaining_work(), job};
+  by_remaining_work_.insert(std::move(node));
 }
 
 void ProbeTable::remove_machine(DenseId job, DenseId machine) {
   records_[job].machines.erase(machine);
-  drop_if_unheld(job);
+  erase_if_unprobed(job);
 }
 
-void ProbeTable::drop_if_unheld(DenseId job) {
+void ProbeTable::erase_if_unprobed(DenseId job) {
   auto& record = records_[job];
   if (!record.machines.empty()) return;
-  by_work_.erase({record.job.work(), job});
+  by_remaining_work_.erase({record.job.remaining_work(), job});
   ids_.release(record.job.uid);
   record = {};
 }
