--- a/src/cloud/scale_in.cpp
+++ b/src/cloud/scale_in.cpp
@@ -106,7 +106,7 @@
   if (drains_.all().empty()) return;
   for (const auto& [name, machine] : inventory_.machines()) {
     const auto* status = registry_.find(name);
-    if (status && status->drained && drains_.gives_back(name, machine.zone) &&
+    if (status && status->drained && drains_.terminates_when_empty(name, machine.zone) &&
         is_current(*status) && !registry_.cordoned(name) && !inventory_.is_busy(name))
       inventory_.cordon(name, runtime_.now());
   }
--- a/src/drains/drain.cpp
+++ b/src/drains/drain.cpp
@@ -37,25 +37,27 @@
 }
 
 wire::json to_json(const Drain& drain) {
-  const auto asked =
-      std::chrono::duration_cast<std::chrono::milliseconds>(drain.asked.time_since_epoch());
-  return {
-      {kAskedField, asked.count()}, {kNoteField, drain.note}, {kGiveBackField, drain.give_back}};
+  const auto requested_at =
+      std::chrono::duration_cast<std::chrono::milliseconds>(drain.requested_at.time_since_epoch());
+  return {{kAskedField, requested_at.count()},
+          {kNoteField, drain.note},
+          {kGiveBackField, drain.terminate_when_empty}};
 }
 
 std::optional<Drain> parse(const std::string& id, const wire::json& record) {
   auto drain = parse_id(id);
   if (!drain || !record.is_object()) return std::nullopt;
-  const auto asked = record.find(kAskedField);
+  const auto requested_at = record.find(kAskedField);
   const auto note = record.find(kNoteField);
-  const auto give_back = record.find(kGiveBackField);
-  if (asked == record.end() || !asked->is_number_integer() ||
+  const auto terminate_when_empty = record.find(kGiveBackField);
+  if (requested_at == record.end() || !requested_at->is_number_integer() ||
       (note != record.end() && !note->is_string()) ||
-      (give_back != record.end() && !give_back->is_boolean()))
+      (terminate_when_empty != record.end() && !terminate_when_empty->is_boolean()))
     return std::nullopt;
-  drain->asked = net::WallTime(std::chrono::milliseconds(asked->get<std::int64_t>()));
+  drain->requested_at = net::WallTime(std::chrono::milliseconds(requested_at->get<std::int64_t>()));
   if (note != record.end()) drain->note = note->get<std::string>().substr(0, kMaxNote);
-  if (give_back != record.end()) drain->give_back = give_back->get<bool>();
+  if (terminate_when_empty != record.end())
+    drain->terminate_when_empty = terminate_when_empty->get<bool>();
   return drain;
 }
 
@@ -66,10 +68,10 @@
   return true;
 }
 
-bool Drains::gives_back(const std::string& machine, const std::string& zone) const {
+bool Drains::terminates_when_empty(const std::string& machine, const std::string& zone) const {
   return std::any_of(all_.begin(), all_.end(), [&](const auto& entry) {
     const auto& drain = entry.second;
-    return drain.give_back && drain.covers(machine, zone);
+    return drain.terminate_when_empty && drain.covers(machine, zone);
   });
 }
 
--- a/src/drains/drain.hpp
+++ b/src/drains/drain.hpp
@@ -14,10 +14,10 @@
 /// A request that a machine, or each machine of a zone, takes nothing new and is emptied.
 struct Drain {
   Kind kind = Kind::Machine;
-  std::string name;        ///< of the machine or the zone
-  net::WallTime asked{};   ///< when it was first requested
-  std::string note;        ///< by whoever requested it; at most kMaxNote bytes
-  bool give_back = false;  ///< its machines are terminated once they are empty
+  std::string name;                   ///< of the machine or the zone
+  net::WallTime requested_at{};       ///< when it was first requested
+  std::string note;                   ///< by whoever requested it; at most kMaxNote bytes
+  bool terminate_when_empty = false;  ///< its machines are terminated once they are empty
   bool covers(const std::string& machine, const std::string& zone) const {
     return name == (kind == Kind::Machine ? machine : zone);
   }
@@ -46,7 +46,7 @@
   std::set<std::string> machines() const { return names(Kind::Machine); }
   std::set<std::string> zones() const { return names(Kind::Zone); }
   /// Whether the machine, if it is drained, is to be terminated once it is empty.
-  bool gives_back(const std::string& machine, const std::string& zone) const;
+  bool terminates_when_empty(const std::string& machine, const std::string& zone) const;
 
  private:
   std::set<std::string> names(Kind kind) const;
--- a/src/drains/drain_controller.cpp
+++ b/src/drains/drain_controller.cpp
@@ -78,7 +78,7 @@
   return std::any_of(drains.begin(), drains.end(), [&](const auto& entry) {
     const auto& drain = entry.second;
     return drain.covers(status.heartbeat.machine, status.heartbeat.zone) &&
-           runtime_.wall() - drain.asked > net::to_duration(settings_.drains.patience);
+           runtime_.wall() - drain.requested_at > net::to_duration(settings_.drains.patience);
   });
 }
 
@@ -148,9 +148,9 @@
   for (const auto& [id, drain] : drains_.all()) progress_[id] = progress_of(drain, decisions);
 }
 
-Progress DrainController::progress_of(const Drain& drain,
-                                      const std::vector<EvictionDecision>& decisions) const {
-  Progress out;
+DrainProgress DrainController::progress_of(const Drain& drain,
+                                           const std::vector<EvictionDecision>& decisions) const {
+  DrainProgress out;
   for (const auto& [name, status] : registry_.machine_statuses()) {
     if (!drain.covers(name, status.heartbeat.zone)) continue;
     const auto& tasks = status.heartbeat.tasks;
@@ -164,8 +164,8 @@
     // What is evicted now will be seen stopping by whoever asks.
     const auto blocker = decision.blocker.value_or(EvictionBlocker::AlreadyStopping);
     ++out.tasks;
-    ++out.held[blocker];
-    out.example.try_emplace(blocker, wire::task_name(task.uid, task.index));
+    ++out.blocked_tasks[blocker];
+    out.example_tasks.try_emplace(blocker, wire::task_name(task.uid, task.index));
   }
   return out;
 }
--- a/src/drains/drain_controller.hpp
+++ b/src/drains/drain_controller.hpp
@@ -10,12 +10,12 @@
 
 namespace limemast::drains {
 /// How far a drain has come, as the leader sees it.
-struct Progress {
-  std::size_t machines = 0;                        ///< that it covers
-  std::size_t empty = 0;                           ///< of those
-  std::size_t tasks = 0;                           ///< still there
-  std::map<EvictionBlocker, std::size_t> held;     ///< tasks by what blocks their eviction
-  std::map<EvictionBlocker, std::string> example;  ///< the name of one task of each
+struct DrainProgress {
+  std::size_t machines = 0;                              ///< that it covers
+  std::size_t empty = 0;                                 ///< of those
+  std::size_t tasks = 0;                                 ///< still there
+  std::map<EvictionBlocker, std::size_t> blocked_tasks;  ///< tasks by what blocks their eviction
+  std::map<EvictionBlocker, std::string> example_tasks;  ///< the name of one task of each
 };
 
 /// Empties drained machines gracefully, as far as constraints and room allow. Which drains there
@@ -29,7 +29,7 @@
   /// The periodic step, to be called once a second; does nothing unless this controller leads.
   void tick();
   /// By the id of the drain; the leader has not looked yet at drains that are not in it.
-  const std::map<std::string, Progress>& progress() const { return progress_; }
+  const std::map<std::string, DrainProgress>& progress() const { return progress_; }
 
  private:
   using TaskId = std::pair<std::string, std::uint32_t>;  ///< job and index
@@ -50,7 +50,8 @@
   /// It runs elsewhere, or need not be waited for any longer.
   bool is_completed(const TaskId& task, const Eviction& eviction) const;
   void update_progress(const std::vector<EvictionDecision>& decisions);
-  Progress progress_of(const Drain& drain, const std::vector<EvictionDecision>& decisions) const;
+  DrainProgress progress_of(const Drain& drain,
+                            const std::vector<EvictionDecision>& decisions) const;
   void evict(const EvictionDecision& decision);
 
   net::Runtime& runtime_;
@@ -62,6 +63,6 @@
   jobs::LongTaskScheduler& scheduler_;
   const Drains& drains_;
   std::map<TaskId, Eviction> evictions_;  ///< told to stop, not running elsewhere yet
-  std::map<std::string, Progress> progress_;
+  std::map<std::string, DrainProgress> progress_;
 };
 }  // namespace limemast::drains
--- a/src/jobs/long_task_map_publisher.cpp
+++ b/src/jobs/long_task_map_publisher.cpp
@@ -26,7 +26,7 @@
   std::vector<machines::ProvisioningMachines> out;
   out.reserve(entries.size());
   for (const auto& entry : entries)
-    out.push_back({entry.type, entry.zone, entry.spot, entry.count, now + entry.first_in});
+    out.push_back({entry.type, entry.zone, entry.spot, entry.count, now + entry.first_expected_in});
   return out;
 }
 
--- a/src/jobs/prober.cpp
+++ b/src/jobs/prober.cpp
@@ -152,7 +152,7 @@
   if (message.map) apply_map(*message.map);
   if (!job) return;
   // Those that were not rejected for long tasks are replaced by a later top_up.
-  if (forget_probes(*job, message.otherwise) > 0) {
+  if (forget_probes(*job, message.other_reasons) > 0) {
     job->probing.exhausted_candidates_version = 0;
     if (!job->probing.machines.empty()) job->probing.redraw_after = runtime_.now() + kRedrawPause;
   }
--- a/src/machines/attached_machines.hpp
+++ b/src/machines/attached_machines.hpp
@@ -53,7 +53,7 @@
   std::uint64_t incarnation = 0;
   std::uint64_t sequence = 0;
   bool sent_by_worker = false;  ///< false: the body of the response to a direct command
-  bool heard_recently = false;  ///< a heartbeat has come since the last `HeardMachines`
+  bool heard_recently = false;  ///< a heartbeat has come since the last `HeartbeatDigest`
 };
 
 /// One attached machine: a part for each class that works on it.
--- a/src/machines/heartbeat_forwarder.cpp
+++ b/src/machines/heartbeat_forwarder.cpp
@@ -5,7 +5,7 @@
 namespace limemast::machines {
 namespace {
 /// Whether the newest known heartbeat is at least as new as the one that `entry` names.
-bool is_up_to_date(const MachineStatus& status, const messages::HeardMachines::Entry& entry) {
+bool is_up_to_date(const MachineStatus& status, const messages::HeartbeatDigest::Entry& entry) {
   return std::pair(status.heartbeat.incarnation, status.heartbeat.sequence) >=
          std::pair(entry.incarnation, entry.sequence);
 }
@@ -15,7 +15,7 @@
                                        PeerLoads& peer_loads)
     : context_(context), attached_(attached), peer_loads_(peer_loads) {
   using cluster::ControllerId;
-  context_.message_bus.on<messages::HeardMachines>(
+  context_.message_bus.on<messages::HeartbeatDigest>(
       [this](const ControllerId& from, const auto& message) { on_heard_machines(from, message); });
   context_.message_bus.on<messages::ResendHeartbeats>(
       [this](const ControllerId& from, const auto& message) { on_resend(from, message); });
@@ -30,7 +30,7 @@
 }
 
 void HeartbeatForwarder::announce_heard(double own_load) {
-  messages::HeardMachines message;
+  messages::HeartbeatDigest message;
   for (auto& [machine, entry] : attached_.all()) {
     if (!std::exchange(entry.forwarded.heard_recently, false) || !attached_.is_attached(machine))
       continue;
@@ -42,7 +42,7 @@
 }
 
 void HeartbeatForwarder::on_heard_machines(const cluster::ControllerId& from,
-                                           const messages::HeardMachines& message) {
+                                           const messages::HeartbeatDigest& message) {
   peer_loads_.record(from, message);
   // What was lost on a broken link, or was sent before this controller joined, is asked for again.
   messages::ResendHeartbeats missing;
--- a/src/machines/heartbeat_forwarder.hpp
+++ b/src/machines/heartbeat_forwarder.hpp
@@ -7,7 +7,7 @@
 namespace limemast::machines {
 class HeartbeatForwarder {
  public:
-  /// Handles `HeardMachines` and `ResendHeartbeats`.
+  /// Handles `HeartbeatDigest` and `ResendHeartbeats`.
   HeartbeatForwarder(const GatewayContext& context, AttachedMachines& attached,
                      PeerLoads& peer_loads);
 
@@ -26,7 +26,8 @@
   void announce_heard(double own_load);
 
  private:
-  void on_heard_machines(const cluster::ControllerId& from, const messages::HeardMachines& message);
+  void on_heard_machines(const cluster::ControllerId& from,
+                         const messages::HeartbeatDigest& message);
   void on_resend(const cluster::ControllerId& from, const messages::ResendHeartbeats& message);
 
   GatewayContext context_;
--- a/src/machines/peer_loads.cpp
+++ b/src/machines/peer_loads.cpp
@@ -10,7 +10,8 @@
 constexpr auto kMaxReportGap = 3500ms;
 }  // namespace
 
-void PeerLoads::record(const cluster::ControllerId& from, const messages::HeardMachines& message) {
+void PeerLoads::record(const cluster::ControllerId& from,
+                       const messages::HeartbeatDigest& message) {
   reports_[from] = {context_.runtime.now(), message.store_available, message.load};
 }
 
--- a/src/machines/peer_loads.hpp
+++ b/src/machines/peer_loads.hpp
@@ -13,7 +13,7 @@
   explicit PeerLoads(const GatewayContext& context) : context_(context) {}
 
   /// Takes what `from` tells of itself.
-  void record(const cluster::ControllerId& from, const messages::HeardMachines& message);
+  void record(const cluster::ControllerId& from, const messages::HeartbeatDigest& message);
   /// The share of the time since the last call, 0 to 1, in which this process's event loop had
   /// work.
   double measure_own_load();
--- a/src/machines/probe_service.cpp
+++ b/src/machines/probe_service.cpp
@@ -162,7 +162,7 @@
   rejected.stage = message.stage;
   place(job, message, rejected);
   jobs_with_probes_.drop_if_unheld(job);
-  if (rejected.behind_long_tasks.empty() && rejected.otherwise.empty()) return;
+  if (rejected.behind_long_tasks.empty() && rejected.other_reasons.empty()) return;
   attach_newer_map(context_.registry.long_task_map(), message.map, rejected);
   context_.message_bus.send(from, rejected);
 }
@@ -172,14 +172,14 @@
   for (const auto& machine : message.machines) {
     const auto* status = context_.registry.find(machine);
     if (!attached_.is_attached(status) || !context_.may_start_on(*status)) {
-      rejected.otherwise.push_back(machine);
+      rejected.other_reasons.push_back(machine);
       continue;
     }
     const auto& commands = attached_.get_or_add(machine).commands;
     if (message.stage < kLastResort && is_closed_to_short_jobs(*status, commands))
       rejected.behind_long_tasks.push_back(machine);
     else if (!add_probe(machine, job))
-      rejected.otherwise.push_back(machine);
+      rejected.other_reasons.push_back(machine);
     else
       pull_next(machine);
   }
--- a/src/messages/machines.cpp
+++ b/src/messages/machines.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t kElements = 3;
 }  // namespace
 
-void to_json(wire::json& json, const HeardMachines& message) {
+void to_json(wire::json& json, const HeartbeatDigest& message) {
   auto machines = wire::json::array();
   auto& list = machines.get_ref<wire::json::array_t&>();
   list.reserve(kElements * message.machines.size());
@@ -32,7 +32,7 @@
           {"load", message.load}};
 }
 
-void from_json(const wire::json& json, HeardMachines& message) {
+void from_json(const wire::json& json, HeartbeatDigest& message) {
   message.store_available = json.at("served").get<bool>();
   // Earlier builds do not tell their load.
   const auto load = json.find("load");
--- a/src/messages/machines.hpp
+++ b/src/messages/machines.hpp
@@ -20,7 +20,7 @@
 void from_json(const wire::json& json, ForwardHeartbeat& message);
 
 /// Which machines the sender has heard lately, and its own state; once a second.
-struct HeardMachines {
+struct HeartbeatDigest {
   static constexpr const char* kKind = "heard";
   /// The newest heartbeat of a machine that the sender has forwarded.
   struct Entry {
@@ -32,10 +32,10 @@
   std::vector<Entry> machines;
   bool store_available = false;  ///< the key-value store serves the sender
   double load = 0;               ///< share of its time, 0 to 1, in which its event loop had work
-  bool operator==(const HeardMachines&) const = default;
+  bool operator==(const HeartbeatDigest&) const = default;
 };
-void to_json(wire::json& json, const HeardMachines& message);
-void from_json(const wire::json& json, HeardMachines& message);
+void to_json(wire::json& json, const HeartbeatDigest& message);
+void from_json(const wire::json& json, HeartbeatDigest& message);
 
 /// Asks for the newest heartbeat of machines of which the sender lacks it.
 struct ResendHeartbeats {
--- a/src/messages/probes.cpp
+++ b/src/messages/probes.cpp
@@ -49,7 +49,7 @@
   json = {{"uid", message.uid},
           {"stage", message.stage},
           {"long", message.behind_long_tasks},
-          {"other", message.otherwise}};
+          {"other", message.other_reasons}};
   if (!message.map) return;
   json["map"] = version_json(message.map->version);
   put_groups(json, message.map->groups);
@@ -59,7 +59,7 @@
   message.uid = json.at("uid").get<std::string>();
   message.stage = json.at("stage").get<int>();
   message.behind_long_tasks = json.at("long").get<std::vector<std::string>>();
-  message.otherwise = json.at("other").get<std::vector<std::string>>();
+  message.other_reasons = json.at("other").get<std::vector<std::string>>();
   if (const auto map = json.find("map"); map != json.end())
     message.map = ProbesRejected::NewerMap{version_from(*map), groups_from(json)};
 }
@@ -96,7 +96,7 @@
   auto provisioning = wire::json::array();
   for (const auto& entry : *message.provisioning)
     provisioning.push_back(wire::json::array(
-        {entry.type, entry.zone, entry.spot, entry.count, entry.first_in.count()}));
+        {entry.type, entry.zone, entry.spot, entry.count, entry.first_expected_in.count()}));
   json["coming"] = std::move(provisioning);
 }
 
--- a/src/messages/probes.hpp
+++ b/src/messages/probes.hpp
@@ -52,7 +52,7 @@
   std::string uid;
   int stage = 0;
   std::vector<std::string> behind_long_tasks;
-  std::vector<std::string> otherwise;
+  std::vector<std::string> other_reasons;
   std::optional<NewerMap> map;
   bool operator==(const ProbesRejected&) const = default;
 };
@@ -93,7 +93,7 @@
     std::string zone;
     bool spot = false;
     std::uint32_t count = 0;
-    std::chrono::milliseconds first_in{0};  ///< from now on until the first is expected
+    std::chrono::milliseconds first_expected_in{0};  ///< from now on until the first is expected
     bool operator==(const Provisioning&) const = default;
   };
   MapVersion version;
--- a/src/operator_api/views.cpp
+++ b/src/operator_api/views.cpp
@@ -275,8 +275,8 @@
   if (!membership_.is_leader()) return out;
   for (const auto& [id, p] : drain_controller_.progress()) {
     json held = json::object();
-    for (const auto& [hold, count] : p.held)
-      held[drains::name_of(hold)] = {{"tasks", count}, {"example", p.example.at(hold)}};
+    for (const auto& [hold, count] : p.blocked_tasks)
+      held[drains::name_of(hold)] = {{"tasks", count}, {"example", p.example_tasks.at(hold)}};
     out[id] = {{"machines", p.machines}, {"empty", p.empty}, {"tasks", p.tasks}, {"held", held}};
   }
   return out;
@@ -292,8 +292,8 @@
                  {"kind", d.kind == drains::Kind::Zone ? "zone" : "machine"},
                  {"name", d.name},
                  {"note", d.note},
-                 {"giveBack", d.give_back},
-                 {"ageS", std::max(0.0, seconds(runtime_.wall() - d.asked))}};
+                 {"giveBack", d.terminate_when_empty},
+                 {"ageS", std::max(0.0, seconds(runtime_.wall() - d.requested_at))}};
       const json* progress = nullptr;
       if (told != g.parts.end()) {
         if (const auto it = told->second.find(id); it != told->second.end()) progress = &*it;
@@ -317,7 +317,7 @@
   const auto given = body.empty() ? json::object() : json::parse(body, nullptr, false);
   if (!given.is_object()) return respond(error(400, "body: must be an object"));
   auto d = *drains::parse_id(id);
-  d.asked = runtime_.wall();
+  d.requested_at = runtime_.wall();
   if (const auto it = given.find("note"); it != given.end()) {
     if (!it->is_string() || it->get_ref<const std::string&>().size() > drains::kMaxNote)
       return respond(error(400, "note: must be a text of 200 bytes at the most"));
@@ -325,7 +325,7 @@
   }
   if (const auto it = given.find("giveBack"); it != given.end()) {
     if (!it->is_boolean()) return respond(error(400, "giveBack: must be true or false"));
-    d.give_back = it->get<bool>();
+    d.terminate_when_empty = it->get<bool>();
   }
   const bool known = d.kind == drains::Kind::Zone
                          ? std::count(settings_.zones.begin(), settings_.zones.end(), d.name) > 0
@@ -337,8 +337,9 @@
   const auto* old = watch_cache_.find(key);
   if (old && drains_.all().contains(id)) {
     const auto& has = drains_.all().at(id);
-    if (has.give_back == d.give_back) return respond(ok({{"id", id}, {"drained", true}}));
-    d.asked = has.asked;  // its patience runs from when it was first asked for
+    if (has.terminate_when_empty == d.terminate_when_empty)
+      return respond(ok({{"id", id}, {"drained", true}}));
+    d.requested_at = has.requested_at;  // its patience runs from when it was first asked for
   }
   if (!old && drains_.all().size() >= drains::kMaxDrains)
     return respond(error(409, "drains: too many at once"));
--- a/tests/compat/codec_test.cpp
+++ b/tests/compat/codec_test.cpp
@@ -46,7 +46,7 @@
   using namespace messages;
   static const std::map<std::string, RoundTrip> all{
       round_trip<MemberHeartbeat>(),   round_trip<ForwardHeartbeat>(),
-      round_trip<HeardMachines>(),     round_trip<ResendHeartbeats>(),
+      round_trip<HeartbeatDigest>(),   round_trip<ResendHeartbeats>(),
       round_trip<AdoptMachines>(),     round_trip<RaiseFencingToken>(),
       round_trip<PullTask>(),          round_trip<NoTask>(),
       round_trip<StartTask>(),         round_trip<CommandWorker>(),
--- a/tests/drains/eviction_plan_test.cpp
+++ b/tests/drains/eviction_plan_test.cpp
@@ -124,8 +124,8 @@
   d.kind = Kind::Zone;
   d.name = "a-1";
   d.note = "rack \"7\"";
-  d.give_back = true;
-  d.asked = net::WallTime(std::chrono::milliseconds(1'700'000'000'123));
+  d.terminate_when_empty = true;
+  d.requested_at = net::WallTime(std::chrono::milliseconds(1'700'000'000'123));
   EXPECT_EQ(parse(id_of(d), to_json(d)), d);
   for (const char* id :
        {"", "zone/", "rack/a", "zone/a b", "zone/a/b", "machine/../x", "zone/\xc3\xa9"})
@@ -136,8 +136,8 @@
   Drains drains;
   EXPECT_FALSE(drains.put("zone/a", {{"asked", "now"}}));
   EXPECT_TRUE(drains.put("zone/a", {{"asked", 1}, {"giveBack", true}}));
-  EXPECT_TRUE(drains.gives_back("n-1", "a"));
-  EXPECT_FALSE(drains.gives_back("n-1", "b"));
+  EXPECT_TRUE(drains.terminates_when_empty("n-1", "a"));
+  EXPECT_FALSE(drains.terminates_when_empty("n-1", "b"));
 }
 }  // namespace
 }  // namespace limemast::drains
--- a/tests/messages/machines_test.cpp
+++ b/tests/messages/machines_test.cpp
@@ -44,18 +44,18 @@
   EXPECT_FALSE(message.heartbeat);
 }
 
-TEST(HeardMachines, RoundTrip) {
-  const HeardMachines message{
+TEST(HeartbeatDigest, RoundTrip) {
+  const HeartbeatDigest message{
       .machines = {{"n-000231", 1, 88}, {"n-000007", 3, 2}}, .store_available = true, .load = 0.25};
   const auto* literal =
       R"({"machines":["n-000231",1,88,"n-000007",3,2],"served":true,"load":0.25})";
-  EXPECT_STREQ(HeardMachines::kKind, "heard");
+  EXPECT_STREQ(HeartbeatDigest::kKind, "heard");
   expect_round_trip(message, literal);
-  expect_fields_required<HeardMachines>(literal, {"load"});
+  expect_fields_required<HeartbeatDigest>(literal, {"load"});
 }
 
-TEST(HeardMachines, LoadThatEarlierBuildsDoNotTellIsZero) {
-  const auto message = wire::json::parse(R"({"machines":[],"served":true})").get<HeardMachines>();
+TEST(HeartbeatDigest, LoadThatEarlierBuildsDoNotTellIsZero) {
+  const auto message = wire::json::parse(R"({"machines":[],"served":true})").get<HeartbeatDigest>();
   EXPECT_EQ(message.load, 0);
 }
 
--- a/tests/messages/probes_test.cpp
+++ b/tests/messages/probes_test.cpp
@@ -33,7 +33,7 @@
       .uid = "wk-000412",
       .stage = 1,
       .behind_long_tasks = {"n-000001"},
-      .otherwise = {"n-000003"},
+      .other_reasons = {"n-000003"},
       .map = ProbesRejected::NewerMap{.version = version(), .groups = groups()}};
   const auto* literal = R"({
     "uid":"wk-000412","stage":1,"long":["n-000001"],"other":["n-000003"],"map":[31,4],
@@ -48,7 +48,7 @@
   expect_round_trip(ProbesRejected{.uid = "wk-000412",
                                    .stage = 0,
                                    .behind_long_tasks = {},
-                                   .otherwise = {"n-000003"},
+                                   .other_reasons = {"n-000003"},
                                    .map = std::nullopt},
                     literal);
   expect_fields_required<ProbesRejected>(literal);
@@ -82,7 +82,7 @@
                                        .zone = "a",
                                        .spot = true,
                                        .count = 2,
-                                       .first_in = std::chrono::milliseconds(41'500)}}};
+                                       .first_expected_in = std::chrono::milliseconds(41'500)}}};
   const auto* literal = R"({
     "generation":31,"serial":4,"closed":["n-000005"],
     "with_long":["n-000001","n-000002"],"short_part":["n-000003"],"kept_free":["n-000004"],
