--- a/src/cloud/autoscaler.cpp
+++ b/src/cloud/autoscaler.cpp
@@ -21,10 +21,10 @@
       cloud_(runtime, settings),
       catalog_(runtime, client, watch_cache, membership, registry, cloud_),
       inventory_(settings, registry, job_owner),
-      listing_(
-          runtime, cloud_,
-          {.page_read = [this](const auto& page) { announce_unheard(page); },
-           .complete = [this](const auto& all) { inventory_.apply_listing(all, runtime_.now()); }}),
+      listing_(runtime, cloud_,
+               {.on_page = [this](const auto& page) { report_machines_without_heartbeat(page); },
+                .on_complete =
+                    [this](const auto& all) { inventory_.apply_listing(all, runtime_.now()); }}),
       health_monitor_(runtime, settings, membership, job_directory, registry, inventory_),
       barrier_monitor_(runtime, settings, membership, registry, job_owner, inventory_),
       provisioner_(runtime, settings, membership, registry, catalog_, cloud_, inventory_),
@@ -38,8 +38,8 @@
       deregistration_(runtime, settings, client, watch_cache, membership, registry, job_owner,
                       inventory_) {}
 
-void Autoscaler::start(Unheard unheard) {
-  unheard_ = std::move(unheard);
+void Autoscaler::start(MachinesWithoutHeartbeatHandler on_machines_without_heartbeat) {
+  on_machines_without_heartbeat_ = std::move(on_machines_without_heartbeat);
   terminator_.start([this](const auto& registered) {
     for (const auto& machine : registered) deregistration_.add(machine);
     deregistration_.run(leading_since_);
@@ -48,21 +48,22 @@
 }
 
 void Autoscaler::on_epoch_changed() {
-  if (membership_.epoch().leader != membership_.self() || has_led_) return;
-  has_led_ = true;
+  if (membership_.epoch().leader != membership_.self() || has_been_leader_) return;
+  has_been_leader_ = true;
   leading_since_ = runtime_.now();
-  // Nobody else would terminate what the leader before us had cordoned, nor uncordon it.
+  // Cordons set by the previous leader are cleared: no other controller would terminate or uncordon
+  // those machines.
   registry_.set_cordoned({});
-  inventory_.on_leadership(leading_since_);
+  inventory_.on_became_leader(leading_since_);
 }
 
 void Autoscaler::tick() {
   registry_.detect_clock_jump(runtime_.now());
-  if (membership_.is_leader() && has_led_) lead();
+  if (membership_.is_leader() && has_been_leader_) run_leader_step();
   runtime_.after(kUpdateInterval, [this] { tick(); });
 }
 
-void Autoscaler::lead() {
+void Autoscaler::run_leader_step() {
   catalog_.poll();
   send_requests();
   listing_.poll();
@@ -72,7 +73,7 @@
   scale_in_.cordon_drained();
   if (settings_.operators.enabled)
     registry_.set_provisioning(inventory_.provisioning(runtime_.now()));
-  if (inventory_.was_listed() && !registry_.types().empty() && knows_all_launches())
+  if (inventory_.has_listing() && !registry_.types().empty() && knows_all_launches())
     adjust_capacity();
   send_requests();
 }
@@ -85,22 +86,23 @@
 bool Autoscaler::knows_all_launches() const {
   const bool had_predecessor = !registry_.all_registered().empty() ||
                                membership_.leader_since_epoch() > membership_.epoch().number;
-  // The listing must have caught up with what the last leader launched.
+  // The cloud's listing lags by up to `list_lag`; after that it includes the launches of the
+  // previous leader.
   return !had_predecessor || runtime_.now() - leading_since_ > net::to_duration(settings_.list_lag);
 }
 
-void Autoscaler::announce_unheard(const std::vector<wire::ListedMachine>& listed) {
-  // All controllers have restarted at once and are back before a machine has missed them: it
-  // attaches with its next heartbeat, and until the last one has, no failover is complete. The
-  // listing says where each machine can be asked to do so now.
+void Autoscaler::report_machines_without_heartbeat(const std::vector<wire::ListedMachine>& listed) {
+  // After a restart of all controllers, each machine attaches only with its next heartbeat, and no
+  // failover completes before every machine has attached. The listing has the machines' addresses,
+  // so that the controllers can contact them without waiting for that heartbeat.
   if (!settings_.start.ask_unheard || runtime_.now() - leading_since_ > silent_after(settings_))
     return;
-  std::vector<std::pair<std::string, std::string>> unheard;
+  std::vector<std::pair<std::string, std::string>> without_heartbeat;
   for (const auto& machine : listed)
     if (machine.phase == wire::MachinePhase::Running && !machine.address.empty() &&
         registry_.registered(machine.name) && !registry_.find(machine.name))
-      unheard.emplace_back(machine.name, machine.address);
-  if (!unheard.empty()) unheard_(std::move(unheard));
+      without_heartbeat.emplace_back(machine.name, machine.address);
+  if (!without_heartbeat.empty()) on_machines_without_heartbeat_(std::move(without_heartbeat));
 }
 
 void Autoscaler::adjust_capacity() {
@@ -108,11 +110,11 @@
   auto demand = demand_of(capacity_reader_.demand());
   const auto supply = capacity_reader_.supply();
   planner_.add_deadline_overflow(demand, supply, now);
-  planner_.set_spot_unavailable(!scale_out_.launch_missing(demand, supply));
+  planner_.set_spot_unavailable(!scale_out_.launch_shortfall(demand, supply));
   scale_out_.launch_for_unschedulable();
   const auto peak = planner_.recent_peak(demand.capacity, now);
-  // What is terminated while the store is unavailable cannot be deregistered: a new leader would
-  // wait for it.
+  // A machine that is terminated while the store is unavailable stays registered, and the failover
+  // of a new leader would wait for it.
   if (membership_.store_available()) scale_in_.run(peak, capacity_reader_.supply());
 }
 }  // namespace limemast::cloud
--- a/src/cloud/autoscaler.hpp
+++ b/src/cloud/autoscaler.hpp
@@ -1,6 +1,5 @@
 #pragma once
-// The leader's dealings with the cloud: launches the machines that the jobs need and terminates the
-// others.
+// The autoscaler: the leader launches the machines that the jobs need and terminates the others.
 #include <functional>
 #include <string>
 #include <utility>
@@ -21,31 +20,33 @@
 #include "cloud/scale_out.hpp"
 
 namespace limemast::cloud {
-/// Wires the parts of this module and calls them in a fixed order, twice a second. All of them live
-/// on one thread and outlive the calls that they have made.
+/// Owns the components of this module and runs them in a fixed order twice a second. All of them
+/// run on one thread and must outlive the asynchronous calls that they have started.
 class Autoscaler {
  public:
   Autoscaler(net::Runtime& runtime, const wire::Settings& settings, store::Client& client,
              const store::WatchCache& watch_cache, cluster::Membership& membership,
              cluster::JobDirectory& job_directory, machines::Registry& registry,
              jobs::JobOwner& job_owner, const drains::Drains& drains);
-  /// Machines as (name, address) that the cloud lists and that are registered, yet have sent no
-  /// heartbeat to any controller.
-  using Unheard = std::function<void(std::vector<std::pair<std::string, std::string>>)>;
-  /// Starts the periodic step. `unheard` is told of such machines when all controllers have just
-  /// restarted.
-  void start(Unheard unheard);
-  /// To be called with each new membership epoch.
+  /// Receives (name, address) of registered machines that the cloud lists as running but that have
+  /// sent no heartbeat to any controller.
+  using MachinesWithoutHeartbeatHandler =
+      std::function<void(std::vector<std::pair<std::string, std::string>>)>;
+  /// Starts the periodic step. The handler is called only in the first seconds of leadership, to
+  /// shorten the recovery from a restart of all controllers.
+  void start(MachinesWithoutHeartbeatHandler on_machines_without_heartbeat);
+  /// Must be called after each change of the membership epoch.
   void on_epoch_changed();
-  /// The periodic step; arms its own timer.
+  /// Runs the periodic step and schedules the next one.
   void tick();
-  /// Takes the catalog out of its record in the store. False if it cannot be read.
+  /// Loads the machine types from the catalog's record in the store. Returns false if the record
+  /// cannot be parsed.
   bool load_types(const wire::json& record) { return catalog_.load(record); }
 
  private:
-  void lead();
-  void announce_unheard(const std::vector<wire::ListedMachine>& listed);
-  /// What an earlier leader launched is known.
+  void run_leader_step();
+  void report_machines_without_heartbeat(const std::vector<wire::ListedMachine>& listed);
+  /// Whether the inventory includes all machines that previous leaders launched.
   bool knows_all_launches() const;
   void adjust_capacity();
   void send_requests();
@@ -67,8 +68,8 @@
   ScaleIn scale_in_;
   MachineTerminator terminator_;
   MachineDeregistration deregistration_;
-  Unheard unheard_;
+  MachinesWithoutHeartbeatHandler on_machines_without_heartbeat_;
   net::Time leading_since_{};
-  bool has_led_ = false;  ///< this incarnation has become the leader once
+  bool has_been_leader_ = false;  ///< since this process started
 };
 }  // namespace limemast::cloud
--- a/src/cloud/capacity_reader.cpp
+++ b/src/cloud/capacity_reader.cpp
@@ -40,17 +40,17 @@
     out.tasks = owned->second->unfinished();
     out.tasks_by_zone = &owned->second->zones;
   }
-  out.is_expected = is_expected_in_time(spec);
-  if (!out.is_expected) return out;
+  out.time_critical = is_time_critical(spec);
+  if (!out.time_critical) return out;
   const auto wall = runtime_.wall();
   if (const auto target = jobs::target_of(job, settings_, wall))
     out.until_target = net::to_seconds(*target - wall);
   return out;
 }
 
-bool CapacityReader::is_expected_in_time(const wire::JobSpec& spec) const {
-  // Best-effort work, and such as nobody waits for, is worth no on-demand machine: for 2,400 tasks
-  // of a reindexing, two hundred of them were once launched for ten minutes.
+bool CapacityReader::is_time_critical(const wire::JobSpec& spec) const {
+  // Best-effort work and jobs without an expected finish do not justify the price of on-demand
+  // machines.
   return !settings_.yields(spec) && (spec.due || settings_.expects_finish(spec.workload));
 }
 
--- a/src/cloud/capacity_reader.hpp
+++ b/src/cloud/capacity_reader.hpp
@@ -1,26 +1,26 @@
 #pragma once
-// Reads the capacity planner's input from the jobs and machines that this controller knows.
+// Builds the capacity planner's input from the jobs and machines that this controller knows.
 #include <optional>
 
 #include "cloud/capacity_planner.hpp"
 #include "cloud/provisioner.hpp"
 
 namespace limemast::cloud {
-/// What is needed and what is there, as of the call. Changes nothing.
+/// Read-only view of the current demand and supply.
 class CapacityReader {
  public:
   CapacityReader(net::Runtime& runtime, const wire::Settings& settings,
                  const cluster::JobDirectory& job_directory, const machines::Registry& registry,
                  const jobs::JobOwner& job_owner, const MachineInventory& inventory,
                  const Provisioner& provisioner);
-  /// The result refers to the jobs' records: it is valid until the next event is handled.
+  /// The result points into the jobs' records and is valid only until the next event is handled.
   DemandInput demand() const;
-  /// Machines that take work or will do so, those of launches under way among them.
+  /// Machines that accept work or are expected to, including launches in flight.
   Capacity supply() const;
 
  private:
   JobDemand demand_of_job(const cluster::ActiveJob& job) const;
-  bool is_expected_in_time(const wire::JobSpec& spec) const;
+  bool is_time_critical(const wire::JobSpec& spec) const;
   bool counts_as_supply(const std::string& name, const Machine& machine) const;
 
   net::Runtime& runtime_;
--- a/src/cloud/catalog_fetcher.cpp
+++ b/src/cloud/catalog_fetcher.cpp
@@ -26,7 +26,7 @@
   const auto now = runtime_.now();
   const net::Duration interval = types_.empty() ? kFirstFetchInterval : kFetchInterval;
   if (last_fetch_ != net::Time{} && now - last_fetch_ < interval) return;
-  if (!cloud_.take_call()) return;
+  if (!cloud_.try_acquire_call()) return;
   last_fetch_ = now;
   cloud_.send(catalog_request(), [this](const net::HttpResult& response) {
     if (const auto catalog = parse_catalog_response(response)) on_catalog(*catalog);
--- a/src/cloud/catalog_fetcher.hpp
+++ b/src/cloud/catalog_fetcher.hpp
@@ -1,6 +1,5 @@
 #pragma once
-// The cloud's catalog of machine types: read from the cloud by the leader, shared through the
-// store.
+// Fetches the cloud's catalog of machine types; the leader shares it through the store.
 #include <vector>
 
 #include "cloud/cloud_client.hpp"
@@ -8,18 +7,18 @@
 #include "machines/registry.hpp"
 
 namespace limemast::cloud {
-/// Keeps the types and their current prices. All controllers learn the types from the store, since
-/// they must judge submissions while the cloud is down.
+/// Holds the machine types with their current prices. All controllers load the types from the store
+/// so that they can validate submissions while the cloud is unavailable.
 class CatalogFetcher {
  public:
   CatalogFetcher(net::Runtime& runtime, store::Client& client, const store::WatchCache& watch_cache,
                  cluster::Membership& membership, machines::Registry& registry, CloudClient& cloud);
-  /// The leader's part: asks the cloud for the catalog if that is due, and writes it to the store
-  /// if anything but a price has changed.
+  /// Fetches the catalog if a fetch is due, and writes it to the store if anything except prices
+  /// has changed. Only the leader calls this.
   void poll();
-  /// Takes the catalog out of the store. False if the record cannot be read.
+  /// Loads the catalog's record of the store. Returns false if the record cannot be parsed.
   bool load(const wire::json& record);
-  /// Types with current prices, in the cloud's order; empty until the first catalog was read.
+  /// Types with current prices, in the cloud's order; empty until the first catalog is known.
   const std::vector<wire::MachineType>& types() const { return types_; }
 
  private:
@@ -32,6 +31,6 @@
   machines::Registry& registry_;
   CloudClient& cloud_;
   std::vector<wire::MachineType> types_;
-  net::Time last_fetch_{};  ///< never, or to be repeated at once, if zero
+  net::Time last_fetch_{};  ///< zero: the next poll fetches at once
 };
 }  // namespace limemast::cloud
--- a/src/cloud/cloud_client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Calls to the cloud, paced to the rate that it allows.
+// HTTP client of the cloud, with client-side rate limiting.
 #include <functional>
 
 #include "net/runtime.hpp"
@@ -7,21 +7,21 @@
 #include "wire/settings.hpp"
 
 namespace limemast::cloud {
-/// The HTTP client of the cloud's machine API. Only the leader calls the cloud, so that nearly the
-/// whole rate is its own.
+/// Sends requests to the cloud's machine API. Only the leader calls the cloud, so the client may
+/// use most of the cloud's rate limit.
 class CloudClient {
  public:
   CloudClient(net::Runtime& runtime, const wire::Settings& settings);
-  /// Takes one call out of the rate limit. False if there is none left now: the caller does not
-  /// call and tries again later.
-  bool take_call();
-  /// Sends a request for which a call was taken; further pages of a list need none. `done` gets the
-  /// response, or status 0 once the timeout has passed.
+  /// Acquires one call from the rate limiter. Returns false if the limit is exhausted; the caller
+  /// must then retry later.
+  bool try_acquire_call();
+  /// Sends a request for which a call was acquired; further pages of a listing need no call of
+  /// their own. `done` receives the response, or status 0 after a timeout.
   void send(net::HttpRequest request, std::function<void(const net::HttpResult&)> done);
 
  private:
   net::Runtime& runtime_;
   const wire::Settings& settings_;
-  net::TokenBucket calls_;
+  net::TokenBucket rate_limiter_;
 };
 }  // namespace limemast::cloud
--- a/src/cloud/cloud_codec.cpp
+++ b/src/cloud/cloud_codec.cpp
@@ -13,7 +13,7 @@
 constexpr auto* kNoCapacity = "no capacity";
 constexpr auto* kPageSize = "500";
 
-/// null if the response is no success or its body cannot be parsed.
+/// Returns null for an unsuccessful response, and a discarded value for a body that is not JSON.
 json body_of(const net::HttpResult& response) {
   return response.status == kOk ? json::parse(response.body, nullptr, false) : json();
 }
--- a/src/cloud/cloud_codec.hpp
+++ b/src/cloud/cloud_codec.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Requests to the cloud's machine API and the parsing of its responses: the only place of this
-// module that knows how the cloud spells things.
+// Encodes requests to the cloud's machine API and parses its responses. No other file of this
+// module depends on the field names of that API.
 #include <optional>
 #include <string>
 #include <vector>
@@ -9,9 +9,9 @@
 #include "wire/cloud.hpp"
 
 namespace limemast::cloud {
-/// Machines of one type in one zone that are to be launched by one request.
+/// A request to launch machines of one type in one zone.
 struct LaunchRequest {
-  std::string name;  ///< idempotency key: under the same name the cloud launches nothing twice
+  std::string name;  ///< idempotency key: the cloud launches nothing twice under one name
   std::string type;
   std::string zone;
   bool spot = false;
@@ -21,9 +21,9 @@
 /// The cloud's response to a launch request.
 struct LaunchResponse {
   enum class Outcome {
-    Launched,    ///< `machines` were launched; they may be fewer than were asked for
-    NoCapacity,  ///< none of this type in this zone are available at present
-    Unanswered   ///< no response, an outage or a rate limit: to be retried under the same name
+    Launched,    ///< `machines` were launched; they may be fewer than requested
+    NoCapacity,  ///< the cloud has no machines of this type in this zone at present
+    Unanswered   ///< timeout, outage or rate limit: the caller retries under the same name
   };
   Outcome outcome = Outcome::Unanswered;
   std::vector<std::string> machines;
@@ -32,19 +32,19 @@
 /// One page of the list of machines.
 struct MachinePage {
   std::vector<wire::ListedMachine> machines;
-  bool more = false;  ///< other pages follow
+  bool more = false;  ///< more pages follow
 };
 
 net::HttpRequest catalog_request();
-/// The page of the list of machines after this one; the first one if `after` is empty.
+/// Requests the page of the machine list that follows machine `after`; the first page if empty.
 net::HttpRequest list_request(const std::string& after);
 net::HttpRequest launch_request(const LaunchRequest& launch);
 net::HttpRequest terminate_request(const std::vector<std::string>& machines);
 
-/// The catalog as the cloud sent it; empty if the response holds none that can be read or no types.
+/// Returns the catalog as the cloud sent it; empty on failure or if the catalog has no types.
 std::optional<wire::json> parse_catalog_response(const net::HttpResult& response);
 std::optional<MachinePage> parse_list_response(const net::HttpResult& response);
 LaunchResponse parse_launch_response(const net::HttpResult& response);
-/// Whether two catalogs differ in nothing but prices.
+/// Whether two catalogs are equal when prices are ignored.
 bool equal_except_prices(const wire::json& a, const wire::json& b);
 }  // namespace limemast::cloud
--- a/src/cloud/failover_barrier_monitor.cpp
+++ b/src/cloud/failover_barrier_monitor.cpp
@@ -30,7 +30,8 @@
 void FailoverBarrierMonitor::update() {
   const auto now = runtime_.now();
   const auto epoch = job_owner_.failover_barrier_epoch();
-  // Heartbeats that another controller receives are known here only while it can be reached.
+  // Heartbeats are forwarded by the controllers that receive them, so a machine counts as silent
+  // only after this controller has been connected to its peers for one heartbeat interval.
   if (epoch == ids::kNoEpoch ||
       now - registry_.connected_since() < net::to_duration(settings_.heartbeat_interval)) {
     failover_barrier_.reset();
@@ -74,7 +75,7 @@
   last_logged_ = runtime_.now();
   const auto silent = std::count_if(unconfirmed.begin(), unconfirmed.end(),
                                     [](const auto& machine) { return machine.silent; });
-  spdlog::info("failover barrier: waiting for {} of {} machines, {} silent, epoch {}",
+  spdlog::info("failover barrier: {} of {} machines not confirmed yet, {} of them silent, epoch {}",
                unconfirmed.size(), registry_.all_registered().size(), silent, epoch);
 }
 }  // namespace limemast::cloud
--- a/src/cloud/failover_barrier_monitor.hpp
+++ b/src/cloud/failover_barrier_monitor.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The leader's part of the failover barrier: terminates machines that would hold it for too long.
+// Terminates machines that would block the failover barrier for too long.
 #include <map>
 #include <string>
 #include <vector>
@@ -8,14 +8,15 @@
 #include "failover/failover_barrier.hpp"
 
 namespace limemast::cloud {
-/// A failover waits until every machine is confirmed. Silent machines, if they are few, are
-/// terminated instead: that proves at once what the end of their leases would prove later.
+/// A failover waits until every machine is confirmed. If only a few machines are silent, the leader
+/// terminates them: the confirmed termination proves that their tasks have ended without waiting
+/// for their leases to expire.
 class FailoverBarrierMonitor {
  public:
   FailoverBarrierMonitor(net::Runtime& runtime, const wire::Settings& settings,
                          const cluster::Membership& membership, const machines::Registry& registry,
                          const jobs::JobOwner& job_owner, MachineInventory& inventory);
-  /// To be called often while this controller leads.
+  /// Runs the periodic check. Only the leader calls this.
   void update();
 
  private:
--- a/src/cloud/machine_deregistration.cpp
+++ b/src/cloud/machine_deregistration.cpp
@@ -6,7 +6,7 @@
 namespace limemast::cloud {
 namespace {
 using namespace std::chrono_literals;
-constexpr std::size_t kMaxRecords = 4;  ///< changed in one transaction while nothing is urgent
+constexpr std::size_t kMaxRecordsWithoutFailover = 4;  ///< per transaction
 constexpr auto kPlaceholderMargin = 5s;
 }  // namespace
 
@@ -38,7 +38,7 @@
 }
 
 void MachineDeregistration::update_pending(net::Time leading_since) {
-  // A machine may have been registered only after it was terminated.
+  // The registration of a machine may arrive after the machine was terminated.
   for (const auto& [name, registered] : registry_.all_registered())
     if (inventory_.is_terminated(name) || registry_.removed(name) ||
         is_placeholder_obsolete(name, leading_since))
@@ -48,18 +48,18 @@
 
 bool MachineDeregistration::is_placeholder_obsolete(const std::string& name,
                                                     net::Time leading_since) const {
-  // The controller to which a machine is attached that only an unreadable record names is a member,
-  // so that the machine is known by its heartbeats and registered anew; or it was lost, and no
-  // longer commands the machine since its own lease has ended. A worker's lease later the machine
-  // has ended what it ran, or has attached to a member.
+  // A machine that only an unreadable record names is attached either to a member or to a lost
+  // controller. A member forwards its heartbeats and registers it again. A lost controller sends no
+  // commands after its own lease has expired; one worker lease later the machine's tasks have
+  // ended, or it has attached to a member. The placeholder is therefore obsolete after both leases.
   if (!machines::Registry::is_record_placeholder(name)) return false;
   const auto both_leases = membership_.lease_ttl() +
                            net::to_duration(settings_.worker_lease * wire::kClockDriftFactor) +
                            kPlaceholderMargin;
-  const auto since =
+  const auto last_change =
       std::max({leading_since, membership_.last_member_loss(), registry_.connected_since()});
   const auto& statuses = registry_.machine_statuses();
-  return runtime_.now() - since > both_leases &&
+  return runtime_.now() - last_change > both_leases &&
          std::all_of(statuses.begin(), statuses.end(),
                      [](const auto& status) { return status.second.registered; });
 }
@@ -69,15 +69,16 @@
 }
 
 bool MachineDeregistration::is_urgent(const std::string& machine) const {
-  // Tasks on the machine are assigned anew once the record says that they are gone.
+  // Tasks of a busy machine are rescheduled only after its record has been removed.
   return inventory_.is_busy(machine) ||
          (is_failover_blocked() &&
           !job_owner_.machine_confirmed(machine, job_owner_.failover_barrier_epoch()));
 }
 
 MachineDeregistration::Batch MachineDeregistration::next_batch() const {
-  // Urgent machines go first. The rest waits behind users' writes, which a large cluster that
-  // scales in would delay for seconds.
+  // Urgent machines are ordered first and raise the priority of the transaction. Otherwise it runs
+  // in the background, because the scale-in of a large cluster would delay users' writes for
+  // seconds.
   Batch out;
   out.machines.assign(pending_.begin(), pending_.end());
   const auto urgent_end = std::partition(out.machines.begin(), out.machines.end(),
@@ -88,30 +89,32 @@
 
 std::map<std::string, MachineDeregistration::Record> MachineDeregistration::remaining_records(
     const std::vector<std::string>& machines) const {
-  const std::size_t limit = is_failover_blocked()
-                                ? settings_.txn_ops
-                                : std::min<std::size_t>(settings_.txn_ops, kMaxRecords);
+  const std::size_t limit =
+      is_failover_blocked() ? settings_.txn_ops
+                            : std::min<std::size_t>(settings_.txn_ops, kMaxRecordsWithoutFailover);
   std::map<std::string, Record> out;
   for (const auto& name : machines) {
     if (out.size() >= limit) break;
-    for (auto& [record, named] : registry_.records_of(name))
-      out.try_emplace(record, std::move(named));
+    for (auto& [record, record_machines] : registry_.records_of(name))
+      out.try_emplace(record, std::move(record_machines));
   }
-  for (auto& [record, named] : out)
-    std::erase_if(named, [&](const auto& machine) { return pending_.contains(machine.first); });
+  for (auto& [record, record_machines] : out)
+    std::erase_if(record_machines,
+                  [&](const auto& machine) { return pending_.contains(machine.first); });
   return out;
 }
 
 MachineDeregistration::Transaction MachineDeregistration::transaction(
     const std::map<std::string, Record>& records) const {
   Transaction out;
-  for (const auto& [record, named] : records) {
+  for (const auto& [record, record_machines] : records) {
     const auto* entry = watch_cache_.find(record);
     if (!entry || out.writes.size() >= settings_.txn_ops) continue;
-    // If the record has changed since, it may name machines that are not known here: the
-    // transaction fails, and the next one starts from the new record.
+    // A changed record may name machines that this controller does not know. The comparison makes
+    // the transaction fail then, and the next one starts from the changed record.
     out.compares.push_back({record, entry->mod_revision});
-    out.writes.push_back({record, named.empty() ? std::optional<wire::json>() : wire::json(named)});
+    out.writes.push_back({record, record_machines.empty() ? std::optional<wire::json>()
+                                                          : wire::json(record_machines)});
   }
   return out;
 }
--- a/src/cloud/machine_deregistration.hpp
+++ b/src/cloud/machine_deregistration.hpp
@@ -8,23 +8,24 @@
 #include "cloud/machine_inventory.hpp"
 
 namespace limemast::cloud {
-/// The removal of its record tells every controller that a machine and all that was on it are gone.
-/// Invariant: a machine is removed from the records only after the cloud has confirmed its
-/// termination, or when nothing is left of what an unreadable record named.
+/// Removing a machine from its record tells every controller that the machine and its tasks are
+/// gone. Invariant: a machine is removed only after the cloud has confirmed its termination. A
+/// placeholder of an unreadable record is removed only after the leases of the machines that the
+/// record may have named have expired.
 class MachineDeregistration {
  public:
   MachineDeregistration(net::Runtime& runtime, const wire::Settings& settings,
                         store::Client& client, const store::WatchCache& watch_cache,
                         const cluster::Membership& membership, const machines::Registry& registry,
                         const jobs::JobOwner& job_owner, const MachineInventory& inventory);
-  /// The cloud has confirmed the termination of this registered machine.
+  /// Queues a registered machine whose termination the cloud has confirmed.
   void add(const std::string& machine) { pending_.insert(machine); }
-  /// Writes what is due, one transaction at a time. `leading_since`: when this controller became
-  /// the leader.
+  /// Writes pending removals, one transaction at a time. `leading_since`: when this controller
+  /// became the leader.
   void run(net::Time leading_since);
 
  private:
-  /// The machines that one record names, each with whether it is a spot machine.
+  /// The machines that one record names; the value says whether the machine is a spot machine.
   using Record = std::map<std::string, bool>;
   struct Batch {
     std::vector<std::string> machines;
@@ -35,13 +36,13 @@
     std::vector<store::Operation> writes;
   };
   void update_pending(net::Time leading_since);
-  /// Nothing that an unreadable record named can run any more.
+  /// Whether no machine named by the unreadable record can still run tasks from that time.
   bool is_placeholder_obsolete(const std::string& name, net::Time leading_since) const;
-  /// Something waits for the machine's removal.
+  /// Whether tasks or a failover wait for the removal of the machine.
   bool is_urgent(const std::string& machine) const;
   bool is_failover_blocked() const;
   Batch next_batch() const;
-  /// The records that name machines of the batch, without those that are to be removed.
+  /// The new contents of the records that name machines of the batch: all machines that remain.
   std::map<std::string, Record> remaining_records(const std::vector<std::string>& machines) const;
   Transaction transaction(const std::map<std::string, Record>& records) const;
 
--- a/src/cloud/machine_health.cpp
+++ b/src/cloud/machine_health.cpp
@@ -5,50 +5,55 @@
 namespace limemast::cloud {
 namespace {
 using namespace std::chrono_literals;
-constexpr auto kBootRemembered = 120s;
-constexpr std::size_t kMaxBoots = 50;  ///< remembered of one type in one zone
-/// Limits of the expected boot time, as multiples of the nominal one.
-constexpr double kWithoutRecentBoot = 2;
-constexpr double kLowestLimit = 1.7;  ///< ordinary boots take up to 1.5 times the nominal time
-constexpr double kHighestLimit = 3.5;
-constexpr double kTimesLongestRecent = 1.2;
-constexpr wire::Seconds kFirstHeartbeat{3};  ///< from being up to the first heartbeat
-/// A machine is faulty from so many failed attempts at tasks of so many jobs on.
-constexpr std::size_t kFaultyAttempts = 3;
-constexpr std::size_t kFaultyJobs = 2;
-/// A job that failed on more machines and completed nothing is at fault itself.
-constexpr std::size_t kFewMachines = 2;
+constexpr auto kBootHistoryWindow = 120s;
+constexpr std::size_t kMaxBootsPerKind = 50;  ///< recorded boots of one type in one zone
+/// Factors of the nominal boot time that bound the expected boot time. The default applies without
+/// recent boots.
+constexpr double kDefaultBootFactor = 2;
+constexpr double kMinBootFactor = 1.7;  ///< above the 1.5 times that ordinary boots take
+constexpr double kMaxBootFactor = 3.5;
+constexpr double kRecentBootMarginFactor = 1.2;
+constexpr wire::Seconds kFirstHeartbeatDelay{3};  ///< from the end of the boot
+/// A machine is faulty if at least this many attempts of at least this many jobs failed on it.
+constexpr std::size_t kMinFailedAttempts = 3;
+constexpr std::size_t kMinFailedJobs = 2;
+/// Failures of a job that failed on more machines and completed no task are blamed on the job.
+constexpr std::size_t kMaxFailedMachinesPerJob = 2;
 }  // namespace
 
-void BootTimeTracker::record(const std::string& type, const std::string& zone, wire::Seconds took,
-                             wire::Seconds nominal, net::Time now) {
+void BootTimeTracker::record(const std::string& type, const std::string& zone,
+                             wire::Seconds boot_time, wire::Seconds nominal, net::Time now) {
   if (nominal.count() <= 0) return;
   auto& boots = recent_boots_[{type, zone}];
-  boots.push_back({now, took / nominal});
-  while (boots.size() > kMaxBoots || now - boots.front().at > kBootRemembered) boots.pop_front();
+  boots.push_back({now, boot_time / nominal});
+  while (boots.size() > kMaxBootsPerKind || now - boots.front().at > kBootHistoryWindow)
+    boots.pop_front();
 }
 
-wire::Seconds BootTimeTracker::longest_expected(const std::string& type, const std::string& zone,
-                                                wire::Seconds nominal, net::Time now) const {
-  double longest = 0;
+wire::Seconds BootTimeTracker::max_expected_boot_time(const std::string& type,
+                                                      const std::string& zone,
+                                                      wire::Seconds nominal, net::Time now) const {
+  double longest_factor = 0;
   if (const auto it = recent_boots_.find({type, zone}); it != recent_boots_.end())
     for (const auto& boot : it->second)
-      if (now - boot.at <= kBootRemembered) longest = std::max(longest, boot.times_nominal);
-  const double limit = longest > 0
-                           ? std::clamp(longest * kTimesLongestRecent, kLowestLimit, kHighestLimit)
-                           : kWithoutRecentBoot;
-  return nominal * limit + kFirstHeartbeat;
+      if (now - boot.at <= kBootHistoryWindow)
+        longest_factor = std::max(longest_factor, boot.nominal_factor);
+  const double limit_factor =
+      longest_factor > 0
+          ? std::clamp(longest_factor * kRecentBootMarginFactor, kMinBootFactor, kMaxBootFactor)
+          : kDefaultBootFactor;
+  return nominal * limit_factor + kFirstHeartbeatDelay;
 }
 
 void FaultyMachineDetector::record_failure(const std::string& machine, const std::string& uid,
                                            std::uint64_t attempt) {
   failures_[machine][uid].insert(attempt);
-  jobs_[uid].failed_on.insert(machine);
+  jobs_[uid].failed_machines.insert(machine);
 }
 
 void FaultyMachineDetector::record_completion(const std::string& machine, const std::string& uid) {
   failures_.erase(machine);
-  jobs_[uid].completes = true;
+  jobs_[uid].has_completed_task = true;
 }
 
 bool FaultyMachineDetector::is_faulty(const std::string& machine) const {
@@ -58,11 +63,11 @@
   std::size_t failed_attempts = 0;
   for (const auto& [uid, attempts] : it->second) {
     const auto& job = jobs_.at(uid);
-    if (!job.completes && job.failed_on.size() > kFewMachines) continue;
+    if (!job.has_completed_task && job.failed_machines.size() > kMaxFailedMachinesPerJob) continue;
     ++failed_jobs;
     failed_attempts += attempts.size();
   }
-  return failed_jobs >= kFaultyJobs && failed_attempts >= kFaultyAttempts;
+  return failed_jobs >= kMinFailedJobs && failed_attempts >= kMinFailedAttempts;
 }
 
 void FaultyMachineDetector::retain(const std::function<bool(const std::string&)>& machine_exists,
--- a/src/cloud/machine_health_monitor.cpp
+++ b/src/cloud/machine_health_monitor.cpp
@@ -10,12 +10,13 @@
 namespace limemast::cloud {
 namespace {
 using namespace std::chrono_literals;
-/// A machine that takes longer than this times its boot time, and the margin, never comes.
+/// A machine that takes longer than this factor of its nominal boot time plus the margin is assumed
+/// never to come up.
 constexpr double kBootLimitFactor = 4;
 constexpr auto kBootLimitMargin = 30s;
 constexpr auto kBootLimitOfUnknownType = 300s;
-/// For machines of which this leader knows no heartbeat, beyond the usual limit.
-constexpr auto kUnseenMargin = 5s;
+/// Added to the silence limit of machines from which this leader has never had a heartbeat.
+constexpr auto kNoHeartbeatMargin = 5s;
 }  // namespace
 
 MachineHealthMonitor::MachineHealthMonitor(net::Runtime& runtime, const wire::Settings& settings,
@@ -31,11 +32,11 @@
       inventory_(inventory) {}
 
 void MachineHealthMonitor::update(net::Time leading_since) {
-  cut_off_zones_ = find_cut_off_zones();
+  partitioned_zones_ = find_partitioned_zones();
   for (const auto& [name, status] : registry_.machine_statuses()) check_heartbeat(status);
   inventory_.apply_registrations(runtime_.now());
   for (const auto& [name, machine] : inventory_.machines())
-    check_unseen(name, machine, leading_since);
+    check_without_heartbeat(name, machine, leading_since);
   faulty_machines_.retain([&](const auto& machine) { return registry_.find(machine) != nullptr; },
                           [&](const auto& uid) {
                             const auto* job = job_directory_.find(uid);
@@ -43,7 +44,7 @@
                           });
 }
 
-std::set<std::string> MachineHealthMonitor::find_cut_off_zones() const {
+std::set<std::string> MachineHealthMonitor::find_partitioned_zones() const {
   struct Zone {
     std::size_t silent = 0;
     std::size_t all = 0;
@@ -54,28 +55,29 @@
     if (runtime_.now() - status.last_heartbeat > silent_after(settings_)) ++zone.silent;
     ++zone.all;
   }
-  std::set<std::string> cut_off;
+  std::set<std::string> partitioned;
   for (const auto& [name, zone] : zones)
-    if (zone.silent * 2 > zone.all) cut_off.insert(name);
-  return cut_off;
+    if (zone.silent * 2 > zone.all) partitioned.insert(name);
+  return partitioned;
 }
 
 net::Duration MachineHealthMonitor::silence_limit(const std::string& zone) const {
-  // Where most of a zone is silent, it is cut off. Its machines are alive, without what they ran
-  // once their leases have ended, and launching as many anew takes as long as most partitions last:
-  // they get the time of a second lease to come back.
+  // If most machines of a zone are silent, the zone is assumed to be partitioned. Its machines
+  // still run, but their tasks end when their leases expire. Launching replacements takes about as
+  // long as a typical partition, so these machines get a second lease to reconnect.
   const auto worker_lease = net::to_duration(settings_.worker_lease);
-  return (cut_off_zones_.contains(zone) ? 2 * worker_lease : worker_lease) +
+  return (partitioned_zones_.contains(zone) ? 2 * worker_lease : worker_lease) +
          net::to_duration(settings_.heartbeat_interval);
 }
 
 void MachineHealthMonitor::check_heartbeat(const machines::MachineStatus& status) {
   const auto& machine = status.heartbeat.machine;
   inventory_.apply_heartbeat(status, runtime_.now());
-  // Silent for a whole lease: its tasks have ended or it is gone, which its termination proves.
-  // Heartbeats that another controller receives count only while that controller can be reached.
-  const auto heard_until = std::max(status.last_heartbeat, registry_.connected_since());
-  if (runtime_.now() - heard_until > silence_limit(status.heartbeat.zone))
+  // The tasks of a machine that is silent for a whole lease have ended or the machine is gone; its
+  // confirmed termination proves it. Silence counts only while every controller that could forward
+  // heartbeats is connected.
+  const auto last_contact = std::max(status.last_heartbeat, registry_.connected_since());
+  if (runtime_.now() - last_contact > silence_limit(status.heartbeat.zone))
     inventory_.mark_for_termination(machine);
   record_exits(status);
   cordon_if_faulty(machine);
@@ -94,18 +96,19 @@
 
 void MachineHealthMonitor::cordon_if_faulty(const std::string& machine) {
   if (!faulty_machines_.is_faulty(machine) || registry_.cordoned(machine)) return;
-  spdlog::info("machine {} is faulty, tasks of several jobs failed there: cordoned, epoch {}",
+  spdlog::info("machine {} is faulty: tasks of several jobs failed on it; cordoning it, epoch {}",
                machine, membership_.epoch().number);
   inventory_.cordon(machine, runtime_.now());
 }
 
-void MachineHealthMonitor::check_unseen(const std::string& name, const Machine& machine,
-                                        net::Time leading_since) {
+void MachineHealthMonitor::check_without_heartbeat(const std::string& name, const Machine& machine,
+                                                   net::Time leading_since) {
   if (registry_.find(name)) return;
   const auto now = runtime_.now();
   if (registry_.registered(name)) {
-    const auto silent_since = std::max({machine.since, leading_since, registry_.connected_since()});
-    if (now - silent_since > silence_limit(machine.zone) + kUnseenMargin)
+    const auto silent_since =
+        std::max({machine.launched_at, leading_since, registry_.connected_since()});
+    if (now - silent_since > silence_limit(machine.zone) + kNoHeartbeatMargin)
       inventory_.mark_for_termination(name);
     return;
   }
@@ -113,6 +116,6 @@
   const net::Duration boot_limit =
       type ? net::to_duration(type->boot * kBootLimitFactor) + kBootLimitMargin
            : net::Duration(kBootLimitOfUnknownType);
-  if (now - machine.since > boot_limit) inventory_.mark_for_termination(name);
+  if (now - machine.launched_at > boot_limit) inventory_.mark_for_termination(name);
 }
 }  // namespace limemast::cloud
--- a/src/cloud/machine_health_monitor.hpp
+++ b/src/cloud/machine_health_monitor.hpp
@@ -1,31 +1,32 @@
 #pragma once
-// Reads the heartbeats: which machines have come up, are silent, never came, or are faulty.
+// Detects from heartbeats which machines have booted, are silent, failed to boot, or are faulty.
 #include <set>
 #include <string>
 
 #include "cloud/machine_inventory.hpp"
 
 namespace limemast::cloud {
-/// Marks silent machines and those that never booted for termination, and cordons faulty ones.
+/// Marks silent machines and machines that failed to boot for termination, and cordons faulty ones.
 class MachineHealthMonitor {
  public:
   MachineHealthMonitor(net::Runtime& runtime, const wire::Settings& settings,
                        const cluster::Membership& membership,
                        const cluster::JobDirectory& job_directory, machines::Registry& registry,
                        MachineInventory& inventory);
-  /// The leader's part, to be called often. `leading_since`: when this controller became the
+  /// Runs the periodic check. Only the leader calls this. `leading_since`: when it became the
   /// leader.
   void update(net::Time leading_since);
 
  private:
-  /// How long machines of the zone may be silent before they are given up.
+  /// How long a machine of the zone may be silent before it is terminated.
   net::Duration silence_limit(const std::string& zone) const;
-  std::set<std::string> find_cut_off_zones() const;
+  std::set<std::string> find_partitioned_zones() const;
   void check_heartbeat(const machines::MachineStatus& status);
   void record_exits(const machines::MachineStatus& status);
   void cordon_if_faulty(const std::string& machine);
-  /// For machines without a heartbeat: silent ever since this controller leads, or never up.
-  void check_unseen(const std::string& name, const Machine& machine, net::Time leading_since);
+  /// Checks a machine from which this leader has had no heartbeat: it is silent or failed to boot.
+  void check_without_heartbeat(const std::string& name, const Machine& machine,
+                               net::Time leading_since);
 
   net::Runtime& runtime_;
   const wire::Settings& settings_;
@@ -34,6 +35,6 @@
   machines::Registry& registry_;
   MachineInventory& inventory_;
   FaultyMachineDetector faulty_machines_;
-  std::set<std::string> cut_off_zones_;  ///< as of this update
+  std::set<std::string> partitioned_zones_;  ///< as of the current update
 };
 }  // namespace limemast::cloud
--- a/src/cloud/machine_inventory.cpp
+++ b/src/cloud/machine_inventory.cpp
@@ -6,9 +6,9 @@
 namespace limemast::cloud {
 namespace {
 using namespace std::chrono_literals;
-/// Terminations are remembered for this many times the lag of the cloud's listing, and a margin.
-constexpr int kListLagsRemembered = 10;
-constexpr auto kRememberedMargin = 60s;
+/// Terminations are kept for this many times the lag of the cloud's listing, plus the margin.
+constexpr int kTerminatedRetentionListLags = 10;
+constexpr auto kTerminatedRetentionMargin = 60s;
 }  // namespace
 
 MachineInventory::MachineInventory(const wire::Settings& settings, machines::Registry& registry,
@@ -31,8 +31,8 @@
                                   net::Time now) const {
   const auto* type = registry_.type(machine.type);
   return type && !registry_.find(name) && !registry_.registered(name) &&
-         net::to_seconds(now - machine.since) >
-             boot_times_.longest_expected(machine.type, machine.zone, type->boot, now);
+         net::to_seconds(now - machine.launched_at) >
+             boot_times_.max_expected_boot_time(machine.type, machine.zone, type->boot, now);
 }
 
 std::vector<machines::ProvisioningMachines> MachineInventory::provisioning(net::Time now) const {
@@ -44,7 +44,7 @@
         is_overdue(name, machine, now))
       continue;
     auto& kind = by_kind[{machine.type, machine.zone, machine.spot}];
-    const auto expected = std::max(machine.since + net::to_duration(type->boot), now);
+    const auto expected = std::max(machine.launched_at + net::to_duration(type->boot), now);
     kind.type = machine.type;
     kind.zone = machine.zone;
     kind.spot = machine.spot;
@@ -57,37 +57,37 @@
   return out;
 }
 
-void MachineInventory::on_leadership(net::Time now) {
+void MachineInventory::on_became_leader(net::Time now) {
   for (const auto& [name, registered] : registry_.all_registered())
-    if (!machines::Registry::is_record_placeholder(name)) machines_[name].since = now;
+    if (!machines::Registry::is_record_placeholder(name)) machines_[name].launched_at = now;
 }
 
 void MachineInventory::apply_listing(const std::vector<wire::ListedMachine>& listing,
                                      net::Time now) {
-  was_listed_ = true;
+  has_listing_ = true;
   std::set<std::string> names;
   for (const auto& listed : listing) {
     names.insert(listed.name);
     if (!is_terminated(listed.name)) apply_listed(listed, now);
   }
-  // Once listed, a machine is listed until it is gone. One that has vanished is terminated all the
-  // same: only the cloud's confirmation proves that it is gone.
+  // The cloud lists a machine until it is gone. A machine that is no longer listed is terminated
+  // nevertheless: only the cloud's confirmation proves that it is gone.
   for (const auto& [name, machine] : machines_)
     if (machine.listed && !names.contains(name)) mark_for_termination(name);
-  const auto oldest =
-      now - kListLagsRemembered * net::to_duration(settings_.list_lag) - kRememberedMargin;
+  const auto oldest = now - kTerminatedRetentionListLags * net::to_duration(settings_.list_lag) -
+                      kTerminatedRetentionMargin;
   std::erase_if(terminated_, [&](const auto& entry) { return entry.second < oldest; });
 }
 
 void MachineInventory::apply_listed(const wire::ListedMachine& listed, net::Time now) {
   const auto [it, is_new] = machines_.try_emplace(listed.name);
   auto& machine = it->second;
-  if (is_new) machine.since = now - net::to_duration(listed.held);
+  if (is_new) machine.launched_at = now - net::to_duration(listed.held);
   machine.type = listed.type;
   machine.zone = listed.zone;
   machine.spot = listed.spot;
   machine.listed = true;
-  // A listing may be older than the one before: a machine that was up does not go back to booting.
+  // Listings may arrive out of order, so a machine that has booted must not return to booting.
   if (machine.phase == wire::MachinePhase::Booting || listed.phase == wire::MachinePhase::Failed)
     machine.phase = listed.phase;
   if (machine.phase == wire::MachinePhase::Failed) mark_for_termination(listed.name);
@@ -97,21 +97,22 @@
   const auto& heartbeat = status.heartbeat;
   const auto [it, is_new] = machines_.try_emplace(heartbeat.machine);
   auto& machine = it->second;
-  if (is_new) machine.since = status.first_heartbeat;
+  if (is_new) machine.launched_at = status.first_heartbeat;
   machine.type = heartbeat.type;
   machine.zone = heartbeat.zone;
   machine.spot = heartbeat.spot;
   machine.phase = wire::MachinePhase::Running;
-  if (std::exchange(machine.up, true) || !machine.launched_here) return;
+  if (std::exchange(machine.heartbeat_seen, true) || !machine.launched_by_this_leader) return;
   if (const auto* type = registry_.type(machine.type))
     boot_times_.record(machine.type, machine.zone,
-                       net::to_seconds(status.first_heartbeat - machine.since), type->boot, now);
+                       net::to_seconds(status.first_heartbeat - machine.launched_at), type->boot,
+                       now);
 }
 
 void MachineInventory::apply_registrations(net::Time now) {
   for (const auto& [name, registered] : registry_.all_registered()) {
     if (is_terminated(name) || machines::Registry::is_record_placeholder(name)) continue;
-    if (const auto [it, is_new] = machines_.try_emplace(name); is_new) it->second.since = now;
+    if (const auto [it, is_new] = machines_.try_emplace(name); is_new) it->second.launched_at = now;
   }
 }
 
@@ -122,13 +123,13 @@
     machine.type = launch.type;
     machine.zone = launch.zone;
     machine.spot = launch.spot;
-    machine.since = now;
-    machine.launched_here = true;
+    machine.launched_at = now;
+    machine.launched_by_this_leader = true;
   }
 }
 
 void MachineInventory::apply_termination(const std::string& machine, net::Time now) {
-  to_terminate_.erase(machine);
+  marked_for_termination_.erase(machine);
   machines_.erase(machine);
   terminated_[machine] = now;
 }
--- a/src/cloud/machine_inventory.hpp
+++ b/src/cloud/machine_inventory.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Which machines there are: the cloud's listing, reconciled with launches, registrations and
+// Inventory of all machines: the cloud's listing, reconciled with launches, registrations and
 // heartbeats.
 #include <compare>
 #include <map>
@@ -12,7 +12,7 @@
 #include "jobs/job_owner.hpp"
 
 namespace limemast::cloud {
-/// Machines of one kind are interchangeable.
+/// The properties that make machines interchangeable.
 struct MachineKind {
   std::string type;
   std::string zone;
@@ -20,24 +20,24 @@
   auto operator<=>(const MachineKind&) const = default;
 };
 
-/// A machine that the cloud runs for us, or that a worker or the store has shown.
+/// A machine that is known from the cloud, from heartbeats, or from its record in the store.
 struct Machine {
   std::string type;
   std::string zone;
   bool spot = false;
   wire::MachinePhase phase = wire::MachinePhase::Booting;
-  net::Time since{};           ///< launched, or first seen
-  net::Time idle_since{};      ///< zero: not idle
-  net::Time cordoned_at{};     ///< by this leader; zero: not by it
-  bool listed = false;         ///< the cloud has listed it
-  bool launched_here = false;  ///< by this leader: `since` is when
-  bool up = false;             ///< a heartbeat of it is known
+  net::Time launched_at{};               ///< time first seen if the launch time is not known
+  net::Time idle_since{};                ///< zero: not idle
+  net::Time cordoned_at{};               ///< when this leader cordoned it; zero: it has not
+  bool listed = false;                   ///< a listing of the cloud has contained it
+  bool launched_by_this_leader = false;  ///< `launched_at` is then the exact launch time
+  bool heartbeat_seen = false;           ///< a heartbeat of the machine is known
 };
 
-/// The leader's view of all machines, and of which are to be terminated. Does no I/O: the caller
-/// feeds it with what it has read.
-/// Invariant: a machine of which the cloud has confirmed the termination comes back with no listing
-/// while one that was made before may still arrive.
+/// The leader's view of all machines and of those marked for termination. Does no I/O; the caller
+/// passes in what it has read.
+/// Invariant: a machine whose termination the cloud has confirmed is not added again by a stale
+/// listing.
 class MachineInventory {
  public:
   using Machines = std::map<std::string, Machine>;
@@ -45,42 +45,44 @@
                    const jobs::JobOwner& job_owner);
 
   const Machines& machines() const { return machines_; }
-  /// "" if the machine is not known.
+  /// Returns an empty string if the machine is not known.
   std::string zone_of(const std::string& machine) const;
-  /// Some task is, or may be, on the machine.
+  /// Whether a task is or may be on the machine.
   bool is_busy(const std::string& machine) const;
-  /// Launched so long ago without being up that nobody should count on it.
+  /// Whether the machine has exceeded its expected boot time, so that it no longer counts as
+  /// expected capacity.
   bool is_overdue(const std::string& name, const Machine& machine, net::Time now) const;
-  /// A complete listing has been read.
-  bool was_listed() const { return was_listed_; }
-  /// Machines that are booting and may be counted on, by type, zone and market.
+  /// Whether a complete listing has been read.
+  bool has_listing() const { return has_listing_; }
+  /// Machines that are expected to finish booting, grouped by type, zone and market.
   std::vector<machines::ProvisioningMachines> provisioning(net::Time now) const;
 
-  /// This controller became the leader: whatever is registered counts as seen now.
-  void on_leadership(net::Time now);
-  /// Takes a complete listing. Listings may arrive out of order.
+  /// Adds all registered machines as first seen now. Called when this controller becomes the
+  /// leader.
+  void on_became_leader(net::Time now);
+  /// Applies a complete listing. Listings may arrive out of order.
   void apply_listing(const std::vector<wire::ListedMachine>& listing, net::Time now);
   void apply_heartbeat(const machines::MachineStatus& status, net::Time now);
-  /// Takes in machines of which nothing is known but their record in the store.
+  /// Adds machines that are known only from their record in the store.
   void apply_registrations(net::Time now);
   void apply_launch(const LaunchRequest& launch, const std::vector<std::string>& machines,
                     net::Time now);
-  /// The cloud has confirmed that the machine is gone.
+  /// Removes a machine whose termination the cloud has confirmed.
   void apply_termination(const std::string& machine, net::Time now);
 
-  /// Notes whether the machine is idle; since when counts from the first time that it is.
+  /// Sets whether the machine is idle; `idle_since` keeps the time at which it became idle.
   void set_idle(const std::string& machine, bool idle, net::Time now);
-  /// The machine, which must be known, takes nothing new from now on.
+  /// Cordons the machine, so that no new tasks are assigned to it. The machine must be known.
   void cordon(const std::string& machine, net::Time now);
-  /// False if it was marked before.
+  /// Returns false if the machine was already marked.
   bool mark_for_termination(const std::string& machine) {
-    return to_terminate_.insert(machine).second;
+    return marked_for_termination_.insert(machine).second;
   }
   bool is_marked_for_termination(const std::string& machine) const {
-    return to_terminate_.contains(machine);
+    return marked_for_termination_.contains(machine);
   }
-  const std::set<std::string>& marked_for_termination() const { return to_terminate_; }
-  /// The cloud has confirmed its termination not long ago.
+  const std::set<std::string>& marked_for_termination() const { return marked_for_termination_; }
+  /// Whether the cloud has confirmed the machine's termination within the retention period.
   bool is_terminated(const std::string& machine) const { return terminated_.contains(machine); }
 
  private:
@@ -90,9 +92,10 @@
   machines::Registry& registry_;
   const jobs::JobOwner& job_owner_;
   Machines machines_;
-  std::map<std::string, net::Time> terminated_;  ///< when: a stale listing may still show them
-  std::set<std::string> to_terminate_;
+  /// When the cloud confirmed each termination; kept while stale listings may arrive.
+  std::map<std::string, net::Time> terminated_;
+  std::set<std::string> marked_for_termination_;
   BootTimeTracker boot_times_;
-  bool was_listed_ = false;
+  bool has_listing_ = false;
 };
 }  // namespace limemast::cloud
--- a/src/cloud/machine_listing.cpp
+++ b/src/cloud/machine_listing.cpp
@@ -10,11 +10,11 @@
 constexpr auto kListInterval = 2s;
 }  // namespace
 
-MachineListing::MachineListing(net::Runtime& runtime, CloudClient& cloud, Events events)
-    : runtime_(runtime), cloud_(cloud), events_(std::move(events)) {}
+MachineListing::MachineListing(net::Runtime& runtime, CloudClient& cloud, Callbacks callbacks)
+    : runtime_(runtime), cloud_(cloud), callbacks_(std::move(callbacks)) {}
 
 void MachineListing::poll() {
-  if (!in_flight_ && runtime_.now() - last_request_ > kListInterval && cloud_.take_call())
+  if (!in_flight_ && runtime_.now() - last_request_ > kListInterval && cloud_.try_acquire_call())
     read_page("", std::make_shared<Machines>());
 }
 
@@ -30,12 +30,12 @@
 void MachineListing::on_response(const net::HttpResult& response,
                                  const std::shared_ptr<Machines>& so_far) {
   const auto page = parse_list_response(response);
-  if (!page) return;  // a listing that lacks a page says nothing of what is gone
-  events_.page_read(page->machines);
+  if (!page) return;  // an incomplete listing must not be taken for the loss of machines
+  callbacks_.on_page(page->machines);
   so_far->insert(so_far->end(), page->machines.begin(), page->machines.end());
   if (page->more && !page->machines.empty())
     read_page(so_far->back().name, so_far);
   else
-    events_.complete(*so_far);
+    callbacks_.on_complete(*so_far);
 }
 }  // namespace limemast::cloud
--- a/src/cloud/machine_listing.hpp
+++ b/src/cloud/machine_listing.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Reads the cloud's list of machines, page by page.
+// Reads the cloud's paginated list of machines.
 #include <functional>
 #include <memory>
 #include <string>
@@ -9,16 +9,16 @@
 #include "wire/cloud.hpp"
 
 namespace limemast::cloud {
-/// Lists the machines again and again, one listing at a time.
+/// Lists the machines periodically, one listing at a time.
 class MachineListing {
  public:
   using Machines = std::vector<wire::ListedMachine>;
-  struct Events {
-    std::function<void(const Machines&)> page_read;
-    std::function<void(const Machines&)> complete;  ///< with the machines of all pages
+  struct Callbacks {
+    std::function<void(const Machines&)> on_page;
+    std::function<void(const Machines&)> on_complete;  ///< receives the machines of all pages
   };
-  MachineListing(net::Runtime& runtime, CloudClient& cloud, Events events);
-  /// To be called often; starts a listing if one is due and the rate limit allows it.
+  MachineListing(net::Runtime& runtime, CloudClient& cloud, Callbacks callbacks);
+  /// Starts a listing if one is due and the rate limit allows it.
   void poll();
 
  private:
@@ -27,7 +27,7 @@
 
   net::Runtime& runtime_;
   CloudClient& cloud_;
-  Events events_;
+  Callbacks callbacks_;
   net::Time last_request_{};
   bool in_flight_ = false;
 };
--- a/src/cloud/machine_terminator.cpp
+++ b/src/cloud/machine_terminator.cpp
@@ -9,7 +9,7 @@
 
 namespace limemast::cloud {
 namespace {
-constexpr std::ptrdiff_t kMaxMachines = 100;  ///< of one request
+constexpr std::ptrdiff_t kMaxMachinesPerRequest = 100;
 constexpr int kOk = 200;
 }  // namespace
 
@@ -24,8 +24,8 @@
 
 void MachineTerminator::run() {
   const auto& marked = inventory_.marked_for_termination();
-  if (in_flight_ || marked.empty() || !cloud_.take_call()) return;
-  const auto count = std::min(std::ssize(marked), kMaxMachines);
+  if (in_flight_ || marked.empty() || !cloud_.try_acquire_call()) return;
+  const auto count = std::min(std::ssize(marked), kMaxMachinesPerRequest);
   const std::vector<std::string> machines(marked.begin(), std::next(marked.begin(), count));
   in_flight_ = true;
   for (const auto& machine : machines) registry_.cordon(machine);
@@ -43,8 +43,8 @@
     if (registry_.registered(machine))
       registered.push_back(machine);
     else
-      // Not registered yet, so never commanded: nothing can be assigned to it. Its last heartbeat
-      // must not have it terminated again.
+      // A machine that is not registered yet has never received a command, so it has no tasks. It
+      // is removed so that its last heartbeat does not trigger another termination.
       registry_.remove(machine);
   }
   on_terminated_(registered);
--- a/src/cloud/machine_terminator.hpp
+++ b/src/cloud/machine_terminator.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Tells the cloud to terminate the machines that are marked for it.
+// Terminates the machines that are marked for termination.
 #include <string>
 #include <vector>
 
@@ -7,15 +7,16 @@
 #include "cloud/machine_inventory.hpp"
 
 namespace limemast::cloud {
-/// Sends one termination request at a time; repeats it until the cloud has confirmed it.
+/// Sends one termination request at a time. Machines stay marked, and are requested again, until
+/// the cloud has confirmed their termination.
 class MachineTerminator {
  public:
   MachineTerminator(net::Runtime& runtime, const cluster::Membership& membership,
                     machines::Registry& registry, CloudClient& cloud, MachineInventory& inventory);
-  /// Called with the terminated machines that are registered, once per confirmed request.
+  /// Called once per confirmed request with those of the terminated machines that are registered.
   using OnTerminated = std::function<void(const std::vector<std::string>& registered)>;
   void start(OnTerminated on_terminated) { on_terminated_ = std::move(on_terminated); }
-  /// Sends a request if machines are marked, none is under way and the rate limit allows it.
+  /// Sends a request if machines are marked, no request is in flight and the rate limit allows it.
   void run();
 
  private:
--- a/src/cloud/offer_selection.cpp
+++ b/src/cloud/offer_selection.cpp
@@ -5,11 +5,10 @@
 
 namespace limemast::cloud {
 namespace {
-constexpr double kTolerance = 1e-6;  ///< sums of fractions of a CPU are not exact
-constexpr double kLeastCpus = 0.01;
-constexpr std::size_t kManyOverdue = 2;
+constexpr double kRoundingTolerance = 1e-6;  ///< for floating-point sums of fractional CPUs
+constexpr double kMinTaskCpus = 0.01;
+constexpr std::size_t kMinOverdueMachines = 2;
 
-/// Whether the query and the task allow machines in the zone.
 bool allows_zone(const OfferQuery& query, const std::string& zone) {
   return (!query.task.zone || *query.task.zone == zone) &&
          (!query.zones || query.zones->contains(zone));
@@ -24,18 +23,19 @@
     const double price = query.spot ? type.spot_price : type.price;
     for (const auto& zone : type.zones)
       if (query.is_available(type, zone) && allows_zone(query, zone))
-        out.push_back(
-            {&type, zone, price / used_cpus, query.overdue[{type.name, zone}] >= kManyOverdue});
+        out.push_back({&type, zone, price / used_cpus,
+                       query.overdue[{type.name, zone}] >= kMinOverdueMachines});
   }
   return out;
 }
 }  // namespace
 
 double tasks_per_machine(const wire::MachineType& type, const wire::JobSpec& task) {
-  double count = std::floor(type.cpus / std::max(task.cpus, kLeastCpus) + kTolerance);
-  if (task.ram_gb > 0) count = std::min(count, std::floor(type.ram_gb / task.ram_gb + kTolerance));
+  double count = std::floor(type.cpus / std::max(task.cpus, kMinTaskCpus) + kRoundingTolerance);
+  if (task.ram_gb > 0)
+    count = std::min(count, std::floor(type.ram_gb / task.ram_gb + kRoundingTolerance));
   if (task.accelerators > 0)
-    count = std::min(count, std::floor(type.accelerators / task.accelerators + kTolerance));
+    count = std::min(count, std::floor(type.accelerators / task.accelerators + kRoundingTolerance));
   return count;
 }
 
@@ -49,12 +49,14 @@
   auto offers = find_offers(query);
   if (offers.empty()) return std::nullopt;
   auto& cpus = query.cpus_by_zone;
-  // On-demand machines hold services: they are spread over the zones before the price counts.
+  // On-demand machines run services, so balancing the zones takes precedence over the price.
   std::sort(offers.begin(), offers.end(), [&](const Offer& a, const Offer& b) {
     if (a.overdue != b.overdue) return b.overdue;
-    if (!query.spot && a.zone != b.zone && std::abs(cpus[a.zone] - cpus[b.zone]) > kTolerance)
+    if (!query.spot && a.zone != b.zone &&
+        std::abs(cpus[a.zone] - cpus[b.zone]) > kRoundingTolerance)
       return cpus[a.zone] < cpus[b.zone];
-    if (a.cost != b.cost) return a.cost < b.cost;
+    if (a.price_per_usable_cpu != b.price_per_usable_cpu)
+      return a.price_per_usable_cpu < b.price_per_usable_cpu;
     return cpus[a.zone] < cpus[b.zone];
   });
   return offers.front();
--- a/src/cloud/offer_selection.hpp
+++ b/src/cloud/offer_selection.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Which type of machine is launched, and in which zone. Pure logic.
+// Selects the type and the zone of the machines to launch. Does no I/O.
 #include <functional>
 #include <map>
 #include <optional>
@@ -11,34 +11,34 @@
 #include "wire/cloud.hpp"
 
 namespace limemast::cloud {
-/// The type and zone that were chosen.
+/// A type and zone in which machines can be launched.
 struct Offer {
   const wire::MachineType* type = nullptr;
   std::string zone;
-  double cost = 0;       ///< per hour and CPU that the waiting tasks can really use
-  bool overdue = false;  ///< several machines of this type in this zone should be up and are not
+  double price_per_usable_cpu = 0;  ///< per hour and CPU that the tasks can use
+  bool overdue = false;  ///< several machines of this type and zone failed to boot in time
 };
 
-/// What is to be launched, and what there is to choose from.
+/// The machines to launch and the offers to choose from.
 struct OfferQuery {
-  /// A task of the kind that the machines are for.
+  /// A representative task that the machines must fit.
   const wire::JobSpec& task;
   bool spot = false;
-  const std::set<std::string>* zones = nullptr;  ///< only these; nullptr: any
+  const std::set<std::string>* zones = nullptr;  ///< allowed zones; nullptr: any
   /// The types with current prices, in the cloud's order.
   const std::vector<wire::MachineType>& types;
-  /// Of machines of this market.
+  /// Existing capacity in this market.
   std::map<std::string, double> cpus_by_zone;
-  /// Machines that should be up and are not, by type and zone.
+  /// Number of machines that exceeded their expected boot time, by type and zone.
   std::map<std::pair<std::string, std::string>, std::size_t> overdue;
-  /// Whether the zone takes machines, and the cloud has not just refused this type there.
+  /// Whether the zone is not drained and the cloud has not recently lacked this type there.
   std::function<bool(const wire::MachineType& type, const std::string& zone)> is_available;
 };
 
-/// How many such tasks a machine of the type holds, by whichever resource runs out first.
+/// How many such tasks fit on a machine of the type, limited by its scarcest resource.
 double tasks_per_machine(const wire::MachineType& type, const wire::JobSpec& task);
-/// The task that most of the waiting CPUs are for; `waiting` must not be empty.
+/// The task of the job that requests the most CPUs; `waiting` must not be empty.
 const wire::JobSpec* typical_task(const std::vector<const wire::JobSpec*>& waiting);
-/// The best offer; empty if none fits.
+/// Returns the best offer; empty if no type fits the task or none is available.
 std::optional<Offer> select_offer(OfferQuery query);
 }  // namespace limemast::cloud
--- a/src/cloud/provisioner.cpp
+++ b/src/cloud/provisioner.cpp
@@ -9,13 +9,14 @@
 namespace limemast::cloud {
 namespace {
 using namespace std::chrono_literals;
-/// A kind of machine of which the cloud had too few is not asked for again for so long.
-constexpr auto kRefusedFor = 15s;
+/// How long a kind of machine is not requested after the cloud had too few of it.
+constexpr auto kNoCapacityBackoff = 15s;
 constexpr auto kRetryDelay = 1s;
-constexpr std::size_t kMaxLaunches = 6;  ///< under way at once
-constexpr double kMaxLaunchCount = 50;   ///< machines of one launch
-/// So much of a machine may be lacking without another being launched for it.
-constexpr double kRoundingSlack = 0.25;
+constexpr std::size_t kMaxConcurrentLaunches = 6;
+constexpr double kMaxMachinesPerLaunch = 50;
+/// Demand in excess of whole machines launches another machine only above this fraction of a
+/// machine.
+constexpr double kMachineRoundingSlack = 0.25;
 }  // namespace
 
 Provisioner::Provisioner(net::Runtime& runtime, const wire::Settings& settings,
@@ -31,7 +32,7 @@
       inventory_(inventory) {}
 
 bool Provisioner::launch(const LaunchDemand& demand) {
-  if (demand.waiting.empty() || launches_.size() >= kMaxLaunches ||
+  if (demand.jobs.empty() || launches_.size() >= kMaxConcurrentLaunches ||
       is_launching(demand.spot, demand.zones))
     return true;
   const auto offer = select_offer(query(demand));
@@ -46,13 +47,13 @@
   });
 }
 
-bool Provisioner::is_refused(const MachineKind& kind) const {
-  const auto until = refused_until_.find(kind);
-  return until != refused_until_.end() && runtime_.now() < until->second;
+bool Provisioner::is_backing_off(const MachineKind& kind) const {
+  const auto until = backoff_until_.find(kind);
+  return until != backoff_until_.end() && runtime_.now() < until->second;
 }
 
 OfferQuery Provisioner::query(const LaunchDemand& demand) const {
-  OfferQuery out{.task = *typical_task(demand.waiting),
+  OfferQuery out{.task = *typical_task(demand.jobs),
                  .spot = demand.spot,
                  .zones = demand.zones,
                  .types = catalog_.types(),
@@ -66,17 +67,17 @@
       ++out.overdue[{machine.type, machine.zone}];
   }
   out.is_available = [this, spot = demand.spot](const auto& type, const auto& zone) {
-    return !registry_.zone_drained(zone) && !is_refused({type.name, zone, spot});
+    return !registry_.zone_drained(zone) && !is_backing_off({type.name, zone, spot});
   };
   return out;
 }
 
 void Provisioner::enqueue(const Offer& offer, const LaunchDemand& demand) {
-  const double count =
-      std::clamp(std::ceil(demand.cpus / offer.type->cpus - kRoundingSlack), 1.0, kMaxLaunchCount);
+  const double count = std::clamp(std::ceil(demand.cpus / offer.type->cpus - kMachineRoundingSlack),
+                                  1.0, kMaxMachinesPerLaunch);
   Launch launch;
   launch.request.name = "r-" + std::to_string(membership_.epoch().number.value()) + "-" +
-                        settings_.label + "-" + std::to_string(next_number_++);
+                        settings_.label + "-" + std::to_string(next_launch_number_++);
   launch.request.type = offer.type->name;
   launch.request.zone = offer.zone;
   launch.request.spot = demand.spot;
@@ -94,7 +95,7 @@
 
 void Provisioner::send_queued() {
   for (auto& launch : launches_) {
-    if (launch.sent || !cloud_.take_call()) continue;
+    if (launch.sent || !cloud_.try_acquire_call()) continue;
     launch.sent = true;
     cloud_.send(launch_request(launch.request),
                 [this, name = launch.request.name](const net::HttpResult& response) {
@@ -114,7 +115,7 @@
   if (response.outcome == LaunchResponse::Outcome::Launched)
     on_launched(it->request, response.machines);
   else
-    refused_until_[kind_of(it->request)] = runtime_.now() + kRefusedFor;
+    backoff_until_[kind_of(it->request)] = runtime_.now() + kNoCapacityBackoff;
   launches_.erase(it);
 }
 
@@ -122,7 +123,7 @@
                               const std::vector<std::string>& machines) {
   inventory_.apply_launch(request, machines, runtime_.now());
   if (machines.size() < request.count)
-    refused_until_[kind_of(request)] = runtime_.now() + kRefusedFor;
+    backoff_until_[kind_of(request)] = runtime_.now() + kNoCapacityBackoff;
   spdlog::info("launched {} of {} {} in {}{}, epoch {}", machines.size(), request.count,
                request.type, request.zone, request.spot ? " (spot)" : "",
                membership_.epoch().number);
--- a/src/cloud/provisioner.hpp
+++ b/src/cloud/provisioner.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Launches machines: queues launch requests, sends them, and retries those without a response.
+// Launches machines: queues launch requests, sends them, and retries requests without a response.
 #include <map>
 #include <set>
 #include <string>
@@ -12,26 +12,28 @@
 #include "cloud/offer_selection.hpp"
 
 namespace limemast::cloud {
-/// Capacity that machines are to be launched for.
+/// Demand for which machines are to be launched.
 struct LaunchDemand {
   bool spot = false;
   double cpus = 0;
-  std::vector<const wire::JobSpec*> waiting;     ///< the jobs that need it
-  const std::set<std::string>* zones = nullptr;  ///< only in these; nullptr: anywhere
+  std::vector<const wire::JobSpec*> jobs;        ///< jobs that need the capacity
+  const std::set<std::string>* zones = nullptr;  ///< allowed zones; nullptr: any
 };
 
-/// Invariant: of each market at most one launch is under way in a zone, since what it yields
-/// decides whether more is needed, and no request is given up before the cloud has answered it.
+/// Keeps launch requests until the cloud has answered them.
+/// Invariant: each zone has at most one launch in flight per market, because its result decides
+/// whether more machines are needed. No request is dropped before the cloud has answered it.
 class Provisioner {
  public:
   Provisioner(net::Runtime& runtime, const wire::Settings& settings,
               const cluster::Membership& membership, const machines::Registry& registry,
               const CatalogFetcher& catalog, CloudClient& cloud, MachineInventory& inventory);
-  /// Queues a launch unless one is under way. False if no fitting machine is available at present.
+  /// Queues a launch unless one is in flight for the market and zones. Returns false if no suitable
+  /// machine is available at present.
   bool launch(const LaunchDemand& demand);
-  /// Sends what is queued, as far as the rate limit allows.
+  /// Sends queued requests as far as the rate limit allows.
   void send_queued();
-  /// The machines of launches that are under way.
+  /// The machines of unanswered launches.
   std::vector<MachineSupply> supply() const;
 
  private:
@@ -43,7 +45,7 @@
     return {request.type, request.zone, request.spot};
   }
   bool is_launching(bool spot, const std::set<std::string>* zones) const;
-  bool is_refused(const MachineKind& kind) const;
+  bool is_backing_off(const MachineKind& kind) const;
   OfferQuery query(const LaunchDemand& demand) const;
   void enqueue(const Offer& offer, const LaunchDemand& demand);
   void on_response(const std::string& name, const LaunchResponse& response);
@@ -57,8 +59,8 @@
   const CatalogFetcher& catalog_;
   CloudClient& cloud_;
   MachineInventory& inventory_;
-  std::vector<Launch> launches_;  ///< not answered yet
-  std::map<MachineKind, net::Time> refused_until_;
-  std::uint64_t next_number_ = 1;  ///< of launches of this controller: part of their names
+  std::vector<Launch> launches_;  ///< queued or unanswered
+  std::map<MachineKind, net::Time> backoff_until_;
+  std::uint64_t next_launch_number_ = 1;  ///< part of the request's name
 };
 }  // namespace limemast::cloud
--- a/src/cloud/scale_in.cpp
+++ b/src/cloud/scale_in.cpp
@@ -7,12 +7,12 @@
 namespace limemast::cloud {
 namespace {
 using namespace std::chrono_literals;
-/// From cordoning a machine to its termination, so that all controllers know.
+/// Delay between cordoning and termination, in which every controller learns of the cordon.
 constexpr auto kCordonDelay = 3s;
-/// Machines that work are cordoned only beyond this share of what is needed,
-constexpr double kWorkingSurplus = 0.1;
-/// and at a time no more than one in so many.
-constexpr std::size_t kWorkingPart = 50;
+/// Busy machines are cordoned only if the supply exceeds the demand by this fraction.
+constexpr double kBusySurplusFraction = 0.1;
+/// Limits how many busy machines one step cordons: one, plus one per this number of machines.
+constexpr std::size_t kMachinesPerBusyCordon = 50;
 }  // namespace
 
 ScaleIn::ScaleIn(net::Runtime& runtime, const wire::Settings& settings,
@@ -28,32 +28,33 @@
 void ScaleIn::run(const Capacity& wanted, Capacity supply) {
   update_idle();
   cordon_surplus(wanted, supply);
-  mark_cordoned();
+  mark_empty_cordoned();
 }
 
-bool ScaleIn::is_current(const machines::MachineStatus& status) const {
-  return runtime_.now() - status.last_heartbeat <= current_for(settings_);
+bool ScaleIn::has_current_heartbeat(const machines::MachineStatus& status) const {
+  return runtime_.now() - status.last_heartbeat <= heartbeat_validity(settings_);
 }
 
-bool ScaleIn::is_light(const std::string& name, const Machine& machine) const {
-  // What runs on a machine that is attached to an unreachable controller is not known here.
+bool ScaleIn::has_only_short_tasks(const std::string& name, const Machine& machine) const {
+  // The tasks of a machine are not known if the controller to which it is attached is unreachable.
   const auto* status = registry_.find(name);
-  return status && is_current(*status) && machine.phase == wire::MachinePhase::Running &&
+  return status && has_current_heartbeat(*status) && machine.phase == wire::MachinePhase::Running &&
          !registry_.has_long_tasks(*status) && !job_owner_.has_long_tasks(name);
 }
 
 void ScaleIn::update_idle() {
   for (const auto& [name, machine] : inventory_.machines())
-    inventory_.set_idle(name, is_light(name, machine) && !inventory_.is_busy(name), runtime_.now());
+    inventory_.set_idle(name, has_only_short_tasks(name, machine) && !inventory_.is_busy(name),
+                        runtime_.now());
 }
 
 std::vector<ScaleIn::Candidate> ScaleIn::candidates() const {
   std::vector<Candidate> out;
   for (const auto& [name, machine] : inventory_.machines()) {
-    if (!is_light(name, machine) || registry_.cordoned(name)) continue;
+    if (!has_only_short_tasks(name, machine) || registry_.cordoned(name)) continue;
     const auto& status = *registry_.find(name);
-    const auto up_for = runtime_.now() - std::max(machine.since, status.first_heartbeat);
-    if (status.drained || up_for < net::to_duration(settings_.tuning.idle_return)) continue;
+    const auto uptime = runtime_.now() - std::max(machine.launched_at, status.first_heartbeat);
+    if (status.drained || uptime < net::to_duration(settings_.tuning.idle_return)) continue;
     out.emplace_back(status.heartbeat.tasks.size(), name);
   }
   std::sort(out.begin(), out.end());
@@ -61,43 +62,43 @@
 }
 
 void ScaleIn::cordon_surplus(const Capacity& wanted, Capacity& supply) {
-  // Short tasks are soon over, and where their probes are spread over all machines few would ever
-  // be idle for long: a working machine is cordoned and goes when its last task is done.
+  // Probes of short tasks are spread over all machines, so few machines stay idle for long. Busy
+  // machines are therefore cordoned as well; they are terminated when their last short task ends.
   const auto now = runtime_.now();
-  const std::size_t most_working = inventory_.machines().size() / kWorkingPart + 1;
-  std::size_t working = 0;
+  const std::size_t max_busy_cordons = inventory_.machines().size() / kMachinesPerBusyCordon + 1;
+  std::size_t busy_cordons = 0;
   for (const auto& [tasks, name] : candidates()) {
     const auto& machine = inventory_.machines().at(name);
     const auto* type = registry_.type(machine.type);
     if (!type) continue;
     const bool idle = machine.idle_since != net::Time{} &&
                       now - machine.idle_since >= net::to_duration(settings_.tuning.idle_return);
-    auto& there = machine.spot ? supply.spot_cpus : supply.on_demand[machine.zone];
-    if (!is_surplus(machine, wanted, there, idle)) continue;
-    if (!idle && ++working > most_working) continue;
+    auto& supplied = machine.spot ? supply.spot_cpus : supply.on_demand[machine.zone];
+    if (!is_surplus(machine, wanted, supplied, idle)) continue;
+    if (!idle && ++busy_cordons > max_busy_cordons) continue;
     inventory_.cordon(name, now);
-    there -= type->cpus;
+    supplied -= type->cpus;
   }
 }
 
-bool ScaleIn::is_surplus(const Machine& machine, const Capacity& wanted, double there,
+bool ScaleIn::is_surplus(const Machine& machine, const Capacity& wanted, double supplied,
                          bool idle) const {
   double needed = wanted.spot_cpus;
   if (!machine.spot) {
     const auto zone = wanted.on_demand.find(machine.zone);
     needed = zone == wanted.on_demand.end() ? 0 : zone->second;
   }
-  const double reserve = idle ? 0 : needed * kWorkingSurplus;
-  return there - needed >= registry_.type(machine.type)->cpus + reserve;
+  const double reserve = idle ? 0 : needed * kBusySurplusFraction;
+  return supplied - needed >= registry_.type(machine.type)->cpus + reserve;
 }
 
-void ScaleIn::mark_cordoned() {
+void ScaleIn::mark_empty_cordoned() {
   for (const auto& [name, machine] : inventory_.machines()) {
     if (!registry_.cordoned(name) || machine.cordoned_at == net::Time{} ||
         runtime_.now() - machine.cordoned_at < kCordonDelay)
       continue;
     const auto* status = registry_.find(name);
-    if ((!status || is_current(*status)) && !inventory_.is_busy(name))
+    if ((!status || has_current_heartbeat(*status)) && !inventory_.is_busy(name))
       inventory_.mark_for_termination(name);
   }
 }
@@ -107,7 +108,7 @@
   for (const auto& [name, machine] : inventory_.machines()) {
     const auto* status = registry_.find(name);
     if (status && status->drained && drains_.terminates_when_empty(name, machine.zone) &&
-        is_current(*status) && !registry_.cordoned(name) && !inventory_.is_busy(name))
+        has_current_heartbeat(*status) && !registry_.cordoned(name) && !inventory_.is_busy(name))
       inventory_.cordon(name, runtime_.now());
   }
 }
--- a/src/cloud/scale_in.hpp
+++ b/src/cloud/scale_in.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Decides which machines are cordoned and terminated because they are not needed, or drained.
+// Scale-in: decides which surplus or drained machines are cordoned and terminated.
 #include <string>
 #include <utility>
 #include <vector>
@@ -9,31 +9,31 @@
 #include "drains/drain.hpp"
 
 namespace limemast::cloud {
-/// Terminates in two steps: a machine is cordoned first, and marked for termination once every
-/// controller knows that and nothing is left on it.
+/// Scales in in two steps: a machine is cordoned first. It is marked for termination once every
+/// controller knows of the cordon and no task is left on the machine.
 class ScaleIn {
  public:
   ScaleIn(net::Runtime& runtime, const wire::Settings& settings, const machines::Registry& registry,
           const jobs::JobOwner& job_owner, const drains::Drains& drains,
           MachineInventory& inventory);
-  /// Cordons what `supply` has beyond `wanted`, and marks cordoned machines that are empty for
+  /// Cordons machines by which `supply` exceeds `wanted`, and marks empty cordoned machines for
   /// termination.
   void run(const Capacity& wanted, Capacity supply);
-  /// Cordons machines that operators drain and want terminated, once nothing is on them.
+  /// Cordons empty machines whose drain asks for their termination.
   void cordon_drained();
 
  private:
   using Candidate = std::pair<std::size_t, std::string>;  ///< number of tasks, machine
-  /// Machines that run no long tasks, idle ones first.
+  /// Machines that may be cordoned, in ascending order of their number of tasks.
   std::vector<Candidate> candidates() const;
   void update_idle();
-  /// What runs on the machine is known, and no long task does.
-  bool is_light(const std::string& name, const Machine& machine) const;
-  bool is_current(const machines::MachineStatus& status) const;
+  /// Whether the machine's tasks are known and include no long task.
+  bool has_only_short_tasks(const std::string& name, const Machine& machine) const;
+  bool has_current_heartbeat(const machines::MachineStatus& status) const;
   void cordon_surplus(const Capacity& wanted, Capacity& supply);
-  /// The CPUs of the machine are not needed; working machines take a larger surplus than idle ones.
-  bool is_surplus(const Machine& machine, const Capacity& wanted, double there, bool idle) const;
-  void mark_cordoned();
+  /// Whether the demand is met without the machine. Busy machines require a larger surplus.
+  bool is_surplus(const Machine& machine, const Capacity& wanted, double supplied, bool idle) const;
+  void mark_empty_cordoned();
 
   net::Runtime& runtime_;
   const wire::Settings& settings_;
--- a/src/cloud/scale_out.cpp
+++ b/src/cloud/scale_out.cpp
@@ -7,8 +7,8 @@
 namespace limemast::cloud {
 namespace {
 using namespace std::chrono_literals;
-/// A long job that has waited for longer gets machines of its own.
-constexpr auto kUnschedulableAfter = 4s;
+/// Machines are launched for a long job whose tasks have been pending for this long.
+constexpr auto kUnschedulableDelay = 4s;
 }  // namespace
 
 ScaleOut::ScaleOut(net::Runtime& runtime, const wire::Settings& settings,
@@ -25,7 +25,7 @@
       inventory_(inventory),
       provisioner_(provisioner) {}
 
-bool ScaleOut::launch_missing(const Demand& demand, const Capacity& supply) {
+bool ScaleOut::launch_shortfall(const Demand& demand, const Capacity& supply) {
   const auto& wanted = demand.capacity;
   log_capacity(wanted, supply);
   const auto shortfall = on_demand_shortfall(wanted, supply);
@@ -34,7 +34,7 @@
     const std::set<std::string> zones{zone};
     if (!provisioner_.launch({false, cpus, demand.on_demand_jobs, &zones})) unavailable += cpus;
   }
-  // A zone that has no machines left leaves its part to the others.
+  // Capacity that is unavailable in one zone is launched in any zone.
   if (unavailable > shortfall.surplus)
     provisioner_.launch({false, unavailable - shortfall.surplus, demand.on_demand_jobs, nullptr});
   const double missing_spot = wanted.spot_cpus - supply.spot_cpus - shortfall.surplus;
@@ -43,16 +43,17 @@
 
 void ScaleOut::log_capacity(const Capacity& wanted, const Capacity& supply) const {
   for (const auto& [zone, cpus] : wanted.on_demand) {
-    const auto there = supply.on_demand.find(zone);
-    spdlog::debug("on-demand machines in {}: {:.0f} CPUs wanted, {:.0f} there or coming, epoch {}",
-                  zone, cpus, there == supply.on_demand.end() ? 0 : there->second,
-                  membership_.epoch().number);
+    const auto supplied = supply.on_demand.find(zone);
+    spdlog::debug(
+        "on-demand capacity in zone {}: {:.0f} CPUs wanted, {:.0f} running or launching, epoch {}",
+        zone, cpus, supplied == supply.on_demand.end() ? 0 : supplied->second,
+        membership_.epoch().number);
   }
 }
 
 void ScaleOut::launch_for_unschedulable() {
-  // Enough CPUs in all may still be none where a job may go: its zone, its type, the half that its
-  // spread allows.
+  // Sufficient total capacity may still not fit a job because of its zone, its machine types, or
+  // its spread over zones.
   launch_for_long_jobs();
   launch_for_short_jobs();
   std::erase_if(waiting_since_,
@@ -70,7 +71,7 @@
       waiting_since_.erase(uid);
       continue;
     }
-    if (now - waiting_since_.try_emplace(uid, now).first->second < kUnschedulableAfter) continue;
+    if (now - waiting_since_.try_emplace(uid, now).first->second < kUnschedulableDelay) continue;
     const auto& spec = job->record.spec;
     const auto zones = allowed_zones(*job);
     if (!is_provisioning(spec, zones))
--- a/src/cloud/scale_out.hpp
+++ b/src/cloud/scale_out.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Decides what capacity is launched.
+// Scale-out: decides what capacity is launched.
 #include <map>
 #include <set>
 #include <string>
@@ -8,26 +8,28 @@
 #include "cloud/provisioner.hpp"
 
 namespace limemast::cloud {
-/// Launches what is missing: in all, and for jobs that no machine can take although there is enough
-/// in all.
+/// Launches machines for missing total capacity, and for jobs that fit on no machine although the
+/// total capacity suffices.
 class ScaleOut {
  public:
   ScaleOut(net::Runtime& runtime, const wire::Settings& settings,
            const cluster::Membership& membership, const cluster::JobDirectory& job_directory,
            const machines::Registry& registry, const jobs::JobOwner& job_owner,
            const MachineInventory& inventory, Provisioner& provisioner);
-  /// False if spot machines are missing and not available at present.
-  bool launch_missing(const Demand& demand, const Capacity& supply);
+  /// Launches machines for the capacity by which `demand` exceeds `supply`. Returns false if spot
+  /// machines are missing and none are available at present.
+  bool launch_shortfall(const Demand& demand, const Capacity& supply);
+  /// Launches machines for jobs that the existing machines cannot run.
   void launch_for_unschedulable();
 
  private:
   void log_capacity(const Capacity& wanted, const Capacity& supply) const;
   void launch_for_long_jobs();
-  /// Short jobs are placed by their owners, but only the leader can see to it that there is a
-  /// machine for them at all.
+  /// Launches a machine for each short job that fits on no existing machine. The jobs' owners place
+  /// the tasks, but only the leader can launch machines.
   void launch_for_short_jobs();
   bool waits_for_machines(const jobs::Job& job) const;
-  /// Where another task of the job may go, by its rules about zones.
+  /// The zones in which the job's zone constraints allow another task.
   std::set<std::string> allowed_zones(const jobs::Job& job) const;
   bool is_provisioning(const wire::JobSpec& spec, const std::set<std::string>& zones) const;
   bool has_machine_for(const wire::JobSpec& spec) const;
@@ -40,6 +42,6 @@
   const jobs::JobOwner& job_owner_;
   const MachineInventory& inventory_;
   Provisioner& provisioner_;
-  std::map<std::string, net::Time> waiting_since_;  ///< of long jobs with tasks to place, by uid
+  std::map<std::string, net::Time> waiting_since_;  ///< long jobs with pending tasks, by uid
 };
 }  // namespace limemast::cloud
--- a/tests/cloud/capacity_planner_test.cpp
+++ b/tests/cloud/capacity_planner_test.cpp
@@ -29,7 +29,7 @@
     return out;
   }
   static Capacity on_demand(double a, double b) { return {{{"a", a}, {"b", b}}, 0, 0}; }
-  /// Jobs that want 100 spot CPUs to be in time.
+  /// Demand of jobs that need 100 spot CPUs to meet their targets.
   Demand late_demand() const {
     Demand out;
     out.capacity = {{{"a", 10}, {"b", 10}}, 100, 100};
@@ -42,7 +42,7 @@
   CapacityPlanner planner_{tuning_};
 };
 
-TEST_F(CapacityPlannerTest, NothingIsNeededWithoutJobs) {
+TEST_F(CapacityPlannerTest, ThereIsNoDemandWithoutJobs) {
   const auto demand = demand_of({{}, {"a", "b"}, 16});
   EXPECT_EQ(demand.capacity.on_demand, (std::map<std::string, double>{{"a", 0}, {"b", 0}}));
   EXPECT_EQ(demand.capacity.spot_cpus, 0);
@@ -58,7 +58,7 @@
   EXPECT_TRUE(demand.spot_jobs.empty());
 }
 
-TEST_F(CapacityPlannerTest, AssignedTasksCountInTheirZonesAndTheRestAnywhere) {
+TEST_F(CapacityPlannerTest, AssignedTasksCountInTheirZonesAndTheRestInAnyZone) {
   const std::map<std::string, std::uint32_t> assigned{{"a", 4}};
   auto placed = job(service_);
   placed.tasks_by_zone = &assigned;
@@ -68,7 +68,7 @@
   EXPECT_DOUBLE_EQ(demand.capacity.on_demand.at("b"), anywhere / 2);
 }
 
-TEST_F(CapacityPlannerTest, AJobThatNamesItsZoneNeedsCapacityThere) {
+TEST_F(CapacityPlannerTest, AJobWithAZoneConstraintNeedsCapacityInThatZone) {
   service_.zone = "b";
   const auto demand = demand_of({{job(service_)}, {"a", "b"}, 0});
   const double spare = 12 * jobs::kServiceSpare;
@@ -76,7 +76,7 @@
   EXPECT_DOUBLE_EQ(demand.capacity.on_demand.at("b"), 12 + spare / 2);
 }
 
-TEST_F(CapacityPlannerTest, ASpotJobNeedsDeadlineCapacityOnlyIfItIsExpectedInTime) {
+TEST_F(CapacityPlannerTest, OnlyATimeCriticalSpotJobNeedsDeadlineCapacity) {
   auto spot = job(batch_);
   auto demand = demand_of({{spot}, {"a"}, 16});
   EXPECT_DOUBLE_EQ(demand.capacity.spot_cpus, 100);
@@ -84,7 +84,7 @@
   EXPECT_DOUBLE_EQ(demand.capacity.on_demand.at("a"), 0);
   EXPECT_EQ(demand.spot_jobs, (std::vector<const wire::JobSpec*>{&batch_}));
 
-  spot.is_expected = true;
+  spot.time_critical = true;
   spot.until_target = wire::Seconds(60);
   demand = demand_of({{spot}, {"a"}, 16});
   EXPECT_DOUBLE_EQ(demand.capacity.deadline_cpus, 50) << "3,000 s of work in 60 s";
@@ -103,20 +103,20 @@
   EXPECT_DOUBLE_EQ(supply.spot_cpus, 10);
 }
 
-TEST_F(CapacityPlannerTest, TheSurplusOfOneZoneDoesNotHideWhatAnotherLacks) {
+TEST_F(CapacityPlannerTest, ASurplusInOneZoneDoesNotHideAShortfallInAnother) {
   const auto shortfall = on_demand_shortfall(on_demand(30, 10), on_demand(20, 18));
   EXPECT_EQ(shortfall.missing, (std::vector<std::pair<std::string, double>>{{"a", 10}}));
   EXPECT_DOUBLE_EQ(shortfall.surplus, 8);
-  const auto nothing_there = on_demand_shortfall(on_demand(30, 0), {});
-  EXPECT_EQ(nothing_there.missing, (std::vector<std::pair<std::string, double>>{{"a", 30}}));
+  const auto without_supply = on_demand_shortfall(on_demand(30, 0), {});
+  EXPECT_EQ(without_supply.missing, (std::vector<std::pair<std::string, double>>{{"a", 30}}));
 }
 
-TEST_F(CapacityPlannerTest, OnDemandMachinesStandInForSpotOnesOnlyOnceTheLackHasLasted) {
+TEST_F(CapacityPlannerTest, OnDemandOverflowStartsOnlyAfterAPersistentSpotShortfall) {
   const Capacity supply{{}, 40, 0};
   auto demand = late_demand();
   planner_.add_deadline_overflow(demand, supply, at(0));
   EXPECT_EQ(demand.capacity.on_demand, late_demand().capacity.on_demand)
-      << "spot machines can still be had";
+      << "spot machines are available";
 
   planner_.set_spot_unavailable(true);
   planner_.add_deadline_overflow(demand, supply, at(1));
@@ -130,7 +130,7 @@
   EXPECT_EQ(demand.on_demand_jobs, demand.spot_jobs);
 }
 
-TEST_F(CapacityPlannerTest, TheOverflowStartsAnewAfterSpotMachinesSufficed) {
+TEST_F(CapacityPlannerTest, TheOverflowDelayRestartsAfterSpotCapacitySufficed) {
   planner_.set_spot_unavailable(true);
   auto demand = late_demand();
   planner_.add_deadline_overflow(demand, {{}, 40, 0}, at(0));
@@ -140,7 +140,7 @@
   EXPECT_EQ(demand.capacity.on_demand, late_demand().capacity.on_demand);
 }
 
-TEST_F(CapacityPlannerTest, TheOverflowIsTheConfiguredShareOfWhatIsMissing) {
+TEST_F(CapacityPlannerTest, TheOverflowIsTheConfiguredFractionOfTheShortfall) {
   tuning_.overflow = 0.5;
   planner_.set_spot_unavailable(true);
   auto demand = late_demand();
@@ -149,7 +149,7 @@
   EXPECT_DOUBLE_EQ(demand.capacity.on_demand.at("a"), 10 + 15);
 }
 
-TEST_F(CapacityPlannerTest, ARecentPeakIsKeptForAsLongAsIdleMachinesAre) {
+TEST_F(CapacityPlannerTest, TheRecentPeakIsKeptForTheIdleRetentionPeriod) {
   planner_.recent_peak({{{"a", 50}}, 80, 0}, at(0));
   auto peak = planner_.recent_peak({{{"a", 10}, {"b", 5}}, 20, 0}, at(20));
   EXPECT_EQ(peak.on_demand, (std::map<std::string, double>{{"a", 50}, {"b", 5}}));
--- a/tests/cloud/cloud_codec_test.cpp
+++ b/tests/cloud/cloud_codec_test.cpp
@@ -19,7 +19,7 @@
              {"districts", {"burrard"}}}}}};
 }
 
-TEST(CloudCodec, RequestsAreSpelledAsTheCloudReadsThem) {
+TEST(CloudCodec, RequestsMatchTheCloudApi) {
   EXPECT_EQ(list_request("").path, "/machines?limit=500");
   EXPECT_EQ(list_request("n-7").path, "/machines?from=n-7&limit=500");
   const auto launch = launch_request({"r-1", "fir", "burrard", true, 4});
@@ -31,7 +31,7 @@
   EXPECT_EQ(terminate.body, R"({"hosts":["n-1","n-2"]})");
 }
 
-TEST(CloudCodec, ALaunchIsRetriedUnlessTheCloudHasAnsweredIt) {
+TEST(CloudCodec, OnlyUnansweredLaunchesAreRetried) {
   const auto launched = parse_launch_response(response(200, R"({"hosts":["n-1",7,"n-2"]})"));
   EXPECT_EQ(launched.outcome, Outcome::Launched);
   EXPECT_EQ(launched.machines, (std::vector<std::string>{"n-1", "n-2"}));
@@ -44,7 +44,7 @@
     EXPECT_EQ(parse_launch_response(response(status, "{}")).outcome, Outcome::Unanswered) << status;
 }
 
-TEST(CloudCodec, OnlyCatalogsAndPagesThatCanBeReadAreTaken) {
+TEST(CloudCodec, UnparsableCatalogsAndPagesAreRejected) {
   EXPECT_TRUE(parse_catalog_response(response(200, catalog(1).dump())));
   EXPECT_FALSE(parse_catalog_response(response(503, catalog(1).dump())));
   EXPECT_FALSE(parse_catalog_response(response(200, "[]")));
@@ -56,7 +56,7 @@
   EXPECT_FALSE(parse_list_response(response(0, "")));
 }
 
-TEST(CloudCodec, CatalogsThatDifferInPricesAloneAreEqual) {
+TEST(CloudCodec, CatalogsThatDifferOnlyInPricesAreEqual) {
   EXPECT_TRUE(equal_except_prices(catalog(1), catalog(2)));
   auto larger = catalog(1);
   larger["flavors"][0]["cpus"] = 16;
--- a/tests/cloud/machine_health_test.cpp
+++ b/tests/cloud/machine_health_test.cpp
@@ -8,27 +8,26 @@
 
 net::Time at(int seconds) { return net::Time(std::chrono::seconds(1000 + seconds)); }
 
-// A machine that never came up counted as coming capacity for four times its boot time and half a
-// minute more, while the work meant for it waited.
+// Guards against counting a machine that never boots as expected capacity for too long, which
+// leaves its intended tasks waiting.
 TEST(BootTimeTracker, TheExpectedBootTimeFollowsRecentBoots) {
   BootTimeTracker boots;
   const wire::Seconds nominal{35};
-  EXPECT_LT(boots.longest_expected("t", "a", nominal, at(0)), 2.2 * nominal);
+  EXPECT_LT(boots.max_expected_boot_time("t", "a", nominal, at(0)), 2.2 * nominal);
   for (int i = 0; i < 10; ++i) boots.record("t", "a", 1.1 * nominal, nominal, at(i));
-  EXPECT_LT(boots.longest_expected("t", "a", nominal, at(10)), 1.9 * nominal);
-  EXPECT_GT(boots.longest_expected("t", "a", nominal, at(10)), 1.5 * nominal);
-  // All boots are slow at present: the next one would be slow as well.
+  EXPECT_LT(boots.max_expected_boot_time("t", "a", nominal, at(10)), 1.9 * nominal);
+  EXPECT_GT(boots.max_expected_boot_time("t", "a", nominal, at(10)), 1.5 * nominal);
+  // After a slow boot the next one is expected to be slow as well.
   boots.record("t", "a", 2.5 * nominal, nominal, at(11));
-  EXPECT_GT(boots.longest_expected("t", "a", nominal, at(12)), 2.8 * nominal);
-  EXPECT_LT(boots.longest_expected("t", "b", nominal, at(12)), 2.2 * nominal);
+  EXPECT_GT(boots.max_expected_boot_time("t", "a", nominal, at(12)), 2.8 * nominal);
+  EXPECT_LT(boots.max_expected_boot_time("t", "b", nominal, at(12)), 2.2 * nominal);
   boots.record("t", "a", 20 * nominal, nominal, at(13));
-  EXPECT_LT(boots.longest_expected("t", "a", nominal, at(14)), 4 * nominal);
-  EXPECT_LT(boots.longest_expected("t", "a", nominal, at(400)), 2.2 * nominal);
+  EXPECT_LT(boots.max_expected_boot_time("t", "a", nominal, at(14)), 4 * nominal);
+  EXPECT_LT(boots.max_expected_boot_time("t", "a", nominal, at(400)), 2.2 * nominal);
 }
 
-// Tasks of two jobs that were submitted with a mistake ran on one machine after the other, and each
-// machine was cordoned as faulty.
-TEST(FaultyMachineDetector, JobsThatFailEverywhereSayNothingOfAMachine) {
+// Guards against cordoning machines as faulty because of jobs that fail on every machine.
+TEST(FaultyMachineDetector, JobsThatFailEverywhereDoNotMakeMachinesFaulty) {
   FaultyMachineDetector detector;
   for (int m = 0; m < 10; ++m)
     for (const auto* uid : {"wk-000001", "wk-000002"})
@@ -37,7 +36,7 @@
   for (int m = 0; m < 10; ++m) EXPECT_FALSE(detector.is_faulty("m" + std::to_string(m)));
 }
 
-TEST(FaultyMachineDetector, AMachineThatFailsWhatOthersCompleteIsFaulty) {
+TEST(FaultyMachineDetector, AMachineThatFailsJobsThatOthersCompleteIsFaulty) {
   FaultyMachineDetector detector;
   for (const auto* machine : {"m1", "m2", "m3", "m4"}) {
     detector.record_failure(machine, "wk-000001", 1);
--- a/tests/cloud/offer_selection_test.cpp
+++ b/tests/cloud/offer_selection_test.cpp
@@ -41,7 +41,7 @@
   EXPECT_EQ(tasks_per_machine(types_[1], task_), 0);
 }
 
-TEST_F(OfferSelectionTest, TheTypicalTaskIsThatOfTheMostWaitingCpus) {
+TEST_F(OfferSelectionTest, TheTypicalTaskIsOfTheJobWithTheMostWaitingCpus) {
   wire::JobSpec many;
   many.cpus = 1;
   many.tasks = 50;
@@ -53,7 +53,7 @@
   const auto offer = select_offer(query(true));
   ASSERT_TRUE(offer);
   EXPECT_EQ(offer->type->name, "large");
-  EXPECT_DOUBLE_EQ(offer->cost, 0.75 / 32);
+  EXPECT_DOUBLE_EQ(offer->price_per_usable_cpu, 0.75 / 32);
 }
 
 TEST_F(OfferSelectionTest, OnDemandMachinesAreSpreadOverTheZonesBeforeThePriceCounts) {
@@ -65,7 +65,7 @@
   EXPECT_EQ(select_offer(wanted)->zone, "a");
 }
 
-TEST_F(OfferSelectionTest, KindsOfWhichSeveralAreOverdueComeLast) {
+TEST_F(OfferSelectionTest, OffersWithSeveralOverdueMachinesComeLast) {
   auto wanted = query(true);
   wanted.overdue = {{{"large", "a"}, 1}, {{"large", "b"}, 2}};
   EXPECT_EQ(select_offer(wanted)->zone, "a");
