--- a/src/drains/drain.cpp
+++ b/src/drains/drain.cpp
@@ -7,7 +7,7 @@
 
 namespace limemast::drains {
 namespace {
-constexpr std::size_t kMaxName = 100;  ///< bytes
+constexpr std::size_t kMaxNameBytes = 100;
 constexpr std::string_view kMachinePrefix = "machine/";
 constexpr std::string_view kZonePrefix = "zone/";
 constexpr auto* kAskedField = "asked";
@@ -30,7 +30,7 @@
   if (!is_zone && !id.starts_with(kMachinePrefix)) return std::nullopt;
   drain.kind = is_zone ? Kind::Zone : Kind::Machine;
   drain.name = id.substr(is_zone ? kZonePrefix.size() : kMachinePrefix.size());
-  const bool valid = !drain.name.empty() && drain.name.size() <= kMaxName &&
+  const bool valid = !drain.name.empty() && drain.name.size() <= kMaxNameBytes &&
                      std::all_of(drain.name.begin(), drain.name.end(), is_name_character);
   if (!valid) return std::nullopt;
   return drain;
--- a/src/drains/drain.hpp
+++ b/src/drains/drain.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Drains: operators' requests to empty machines, as they are recorded in the store.
+// Drains: operators' requests to evict all tasks from machines, and their records in the store.
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -11,41 +11,42 @@
 namespace limemast::drains {
 enum class Kind { Machine, Zone };
 
-/// A request that a machine, or each machine of a zone, takes nothing new and is emptied.
+/// A request to drain one machine or all machines of a zone: they accept no new tasks, and their
+/// tasks are evicted.
 struct Drain {
   Kind kind = Kind::Machine;
-  std::string name;                   ///< of the machine or the zone
-  net::WallTime requested_at{};       ///< when it was first requested
-  std::string note;                   ///< by whoever requested it; at most kMaxNote bytes
-  bool terminate_when_empty = false;  ///< its machines are terminated once they are empty
+  std::string name;                   ///< name of the machine or the zone
+  net::WallTime requested_at{};       ///< time of the first request
+  std::string note;                   ///< text from the requester; at most kMaxNote bytes
+  bool terminate_when_empty = false;  ///< whether machines are terminated once they are empty
   bool covers(const std::string& machine, const std::string& zone) const {
     return name == (kind == Kind::Machine ? machine : zone);
   }
   bool operator==(const Drain&) const = default;
 };
 constexpr std::size_t kMaxNote = 200;    ///< bytes
-constexpr std::size_t kMaxDrains = 200;  ///< at once: each is a key that every controller caches
+constexpr std::size_t kMaxDrains = 200;  ///< each drain is a key that every controller caches
 
-/// "machine/n-000231": the id of a drain in the store and in the operators' interface.
+/// The id of a drain in the store and in the operator API, for example "machine/n-000231".
 std::string id_of(const Drain& drain);
-/// The kind and name that the id gives; empty if it is not valid. Names are those of machines and
-/// zones, of letters, digits, '.', '-' and '_'.
+/// Returns a drain with the kind and name of the id; empty if the id is not valid. Names consist of
+/// letters, digits, '.', '-' and '_'.
 std::optional<Drain> parse_id(const std::string& id);
-/// The drain's record; its id is the key.
+/// Encodes the drain's record. The id is not part of it; it is the record's key.
 wire::json to_json(const Drain& drain);
-/// Empty if the id or the record is not valid.
+/// Parses a record; returns empty if the id or the record is not valid.
 std::optional<Drain> parse(const std::string& id, const wire::json& record);
 
-/// All drains in force, as the watch cache shows them.
+/// All active drains, as of the watch cache.
 class Drains {
  public:
-  /// Adds or replaces a drain. False if the record is not valid; it is then ignored.
+  /// Adds or replaces a drain. Ignores an invalid record and returns false.
   bool put(const std::string& id, const wire::json& record);
   void remove(const std::string& id) { all_.erase(id); }
   const std::map<std::string, Drain>& all() const { return all_; }  ///< by id
   std::set<std::string> machines() const { return names(Kind::Machine); }
   std::set<std::string> zones() const { return names(Kind::Zone); }
-  /// Whether the machine, if it is drained, is to be terminated once it is empty.
+  /// Whether an active drain asks for the machine's termination once it is empty.
   bool terminates_when_empty(const std::string& machine, const std::string& zone) const;
 
  private:
--- a/src/drains/drain_controller.cpp
+++ b/src/drains/drain_controller.cpp
@@ -7,12 +7,12 @@
 namespace limemast::drains {
 namespace {
 using namespace std::chrono_literals;
-/// A task that was evicted and does not run elsewhere by then no longer keeps the other replicas of
-/// its service where they are.
-constexpr auto kMoveTimeout = 60s;
+/// An evicted task that does not run elsewhere within this time no longer blocks the eviction of
+/// the other replicas of its service.
+constexpr auto kRescheduleTimeout = 60s;
 constexpr auto kStopRetryInterval = 5s;
-/// Without a heartbeat for so many intervals a machine is silent.
-constexpr double kSilentIntervals = 2.5;
+/// A machine without a heartbeat for this many intervals is unreachable.
+constexpr double kSilentHeartbeatIntervals = 2.5;
 }  // namespace
 
 DrainController::DrainController(net::Runtime& runtime, const wire::Settings& settings,
@@ -35,7 +35,7 @@
     evictions_.clear();
     return;
   }
-  forget_completed_evictions();
+  remove_completed_evictions();
   const auto tasks = tasks_on_drained_machines();
   const auto decisions = plan_evictions(tasks, targets(tasks), limits());
   update_progress(decisions);
@@ -52,11 +52,11 @@
 
 void DrainController::collect_tasks(const machines::MachineStatus& status,
                                     std::vector<TaskOnDrainedMachine>& out) const {
-  const bool past_patience = is_past_patience(status);
+  const bool patience_expired = is_patience_expired(status);
   const bool reachable = is_reachable(status);
   for (const auto& task : status.heartbeat.tasks) {
     const auto* job = task.exited() ? nullptr : job_directory_.find(task.uid);
-    // Tasks of jobs that have ended are stopped by the controller that the machine is attached to.
+    // The controller to which the machine is attached stops the tasks of ended jobs.
     if (!job || job->ended || !job->spec_known) continue;
     TaskOnDrainedMachine drained;
     drained.machine = status.heartbeat.machine;
@@ -67,13 +67,13 @@
     drained.reachable = reachable;
     drained.stopping =
         task.phase == wire::TaskPhase::Saving || was_just_evicted({task.uid, task.index});
-    drained.past_patience = past_patience;
+    drained.patience_expired = patience_expired;
     drained.spec = &job->spec;
     out.push_back(std::move(drained));
   }
 }
 
-bool DrainController::is_past_patience(const machines::MachineStatus& status) const {
+bool DrainController::is_patience_expired(const machines::MachineStatus& status) const {
   const auto& drains = drains_.all();
   return std::any_of(drains.begin(), drains.end(), [&](const auto& entry) {
     const auto& drain = entry.second;
@@ -84,13 +84,14 @@
 
 bool DrainController::is_reachable(const machines::MachineStatus& status) const {
   return runtime_.now() - status.last_heartbeat <=
-             net::to_duration(settings_.heartbeat_interval * kSilentIntervals) &&
+             net::to_duration(settings_.heartbeat_interval * kSilentHeartbeatIntervals) &&
          membership_.is_member(status.attached_controller);
 }
 
 bool DrainController::was_just_evicted(const TaskId& task) const {
   const auto eviction = evictions_.find(task);
-  return eviction != evictions_.end() && runtime_.now() - eviction->second.at < kStopRetryInterval;
+  return eviction != evictions_.end() &&
+         runtime_.now() - eviction->second.started_at < kStopRetryInterval;
 }
 
 std::vector<EvictionTarget> DrainController::targets(
@@ -118,12 +119,12 @@
     return job == job_owner_.jobs().end() ? kNoTasks : job->second->zones;
   };
   for (const auto& [task, eviction] : evictions_) out.moving_jobs.insert(task.first);
-  const std::size_t most = settings_.drains.moves;
-  out.most = most > evictions_.size() ? most - evictions_.size() : 0;
+  const std::size_t max_evictions = settings_.drains.moves;
+  out.max_evictions = max_evictions > evictions_.size() ? max_evictions - evictions_.size() : 0;
   return out;
 }
 
-void DrainController::forget_completed_evictions() {
+void DrainController::remove_completed_evictions() {
   std::erase_if(evictions_,
                 [this](const auto& entry) { return is_completed(entry.first, entry.second); });
 }
@@ -131,10 +132,10 @@
 bool DrainController::is_completed(const TaskId& task, const Eviction& eviction) const {
   const auto& [uid, index] = task;
   const auto* job = job_directory_.find(uid);
-  const auto age = runtime_.now() - eviction.at;
-  if (!job || job->ended || age > kMoveTimeout) return true;
-  // The leader owns the long jobs: it knows where the task is now. Of short ones only the stop
-  // matters.
+  const auto age = runtime_.now() - eviction.started_at;
+  if (!job || job->ended || age > kRescheduleTimeout) return true;
+  // The leader owns the long jobs and knows their tasks' assignments. A short job's eviction is
+  // complete when the stop command no longer needs to be retried.
   const auto owned = job_owner_.jobs().find(uid);
   if (owned == job_owner_.jobs().end()) return age > kStopRetryInterval;
   const auto& assignments = owned->second->assignments;
@@ -161,7 +162,7 @@
   for (const auto& decision : decisions) {
     const auto& task = *decision.task;
     if (!drain.covers(task.machine, task.zone)) continue;
-    // What is evicted now will be seen stopping by whoever asks.
+    // Tasks that are evicted in this step count as stopping.
     const auto blocker = decision.blocker.value_or(EvictionBlocker::AlreadyStopping);
     ++out.tasks;
     ++out.blocked_tasks[blocker];
@@ -173,14 +174,16 @@
 void DrainController::evict(const EvictionDecision& decision) {
   const auto& task = *decision.task;
   const auto* status = registry_.find(task.machine);
-  const auto* shown = status ? status->heartbeat.find(task.uid, task.index, task.attempt) : nullptr;
-  if (!shown) return;
-  spdlog::info("drain: evicting task {} from {}{}, epoch {}", wire::task_name(task.uid, task.index),
-               task.machine,
-               decision.target.empty() ? std::string() : ", room on " + decision.target,
-               membership_.epoch().number);
+  const auto* reported_task =
+      status ? status->heartbeat.find(task.uid, task.index, task.attempt) : nullptr;
+  if (!reported_task) return;
+  spdlog::info(
+      "drain: evicting task {} from machine {}{}, epoch {}", wire::task_name(task.uid, task.index),
+      task.machine,
+      decision.target.empty() ? std::string() : ", machine " + decision.target + " has room for it",
+      membership_.epoch().number);
   evictions_[{task.uid, task.index}] = {task.machine, runtime_.now()};
-  job_owner_.command_worker(task.machine, *shown, wire::CommandKind::Stop,
+  job_owner_.command_worker(task.machine, *reported_task, wire::CommandKind::Stop,
                             task.spec->grace_period());
 }
 }  // namespace limemast::drains
--- a/src/drains/eviction_plan.cpp
+++ b/src/drains/eviction_plan.cpp
@@ -26,7 +26,7 @@
 namespace {
 using TasksByZone = std::map<std::string, std::uint32_t>;
 
-/// May one task of the job leave zone `from` for zone `to`?
+/// Whether the job's zone constraints allow one of its tasks to move from zone `from` to zone `to`.
 bool zones_allow(const wire::JobSpec& spec, const TasksByZone& zones, const std::string& from,
                  const std::string& to) {
   if (spec.zone && *spec.zone != to) return false;
@@ -36,13 +36,15 @@
     return it->second - (zone == from && it->second > 0 ? 1 : 0);
   };
   if (spec.spread && count_without_task(to) + 1 > spec.zone_cap()) return false;
-  // A job that must stay in one zone leaves it only as a whole.
+  // A task of a job that must be in one zone may change the zone only if no other task remains
+  // there.
   return !spec.one_zone || std::all_of(zones.begin(), zones.end(), [&](const auto& zone) {
     return zone.first == to || count_without_task(zone.first) == 0;
   });
 }
 
-/// Services first, and higher ranks first: they take the room that there is.
+/// Orders services before other tasks, then by descending rank. Earlier tasks reserve free capacity
+/// first.
 std::vector<const TaskOnDrainedMachine*> by_priority(
     const std::vector<TaskOnDrainedMachine>& tasks) {
   std::vector<const TaskOnDrainedMachine*> out;
@@ -62,17 +64,19 @@
       : targets_(std::move(targets)), limits_(std::move(limits)) {}
 
   EvictionDecision decide(const TaskOnDrainedMachine& task) {
-    EvictionDecision out{&task, blocker_of_itself(task), {}};
+    EvictionDecision out{&task, intrinsic_blocker(task), {}};
     if (out.blocker) return out;
-    const auto [target, constrained] = find_target(task);
-    // Work that is not a service returns to the queue when the patience is over, room or none.
-    const bool needs_target = task.spec->service || !task.past_patience;
+    const auto [target, zone_constrained] = find_target(task);
+    // Once the drain's patience has expired, a task of a batch job is requeued even if no other
+    // machine has free capacity.
+    const bool needs_target = task.spec->service || !task.patience_expired;
     if (!target && needs_target) {
-      out.blocker = constrained ? EvictionBlocker::ZoneConstraint : EvictionBlocker::NoCapacity;
-    } else if (limits_.most == 0) {
+      out.blocker =
+          zone_constrained ? EvictionBlocker::ZoneConstraint : EvictionBlocker::NoCapacity;
+    } else if (limits_.max_evictions == 0) {
       out.blocker = EvictionBlocker::DisruptionLimit;
     } else {
-      --limits_.most;
+      --limits_.max_evictions;
       if (target) {
         target->free -= wire::Resources::of(*task.spec);
         out.target = target->machine;
@@ -83,44 +87,45 @@
   }
 
  private:
-  /// What keeps the task where it is, whatever room there may be elsewhere.
-  std::optional<EvictionBlocker> blocker_of_itself(const TaskOnDrainedMachine& task) const {
+  /// The blocker that does not depend on free capacity elsewhere; empty if there is none.
+  std::optional<EvictionBlocker> intrinsic_blocker(const TaskOnDrainedMachine& task) const {
     const auto& spec = *task.spec;
-    const bool saves = spec.checkpoint_every.count() > 0;
+    const bool has_checkpoints = spec.checkpoint_every.count() > 0;
     if (task.stopping) return EvictionBlocker::AlreadyStopping;
     if (!task.reachable) return EvictionBlocker::Unreachable;
-    if (!spec.service && !saves && !task.past_patience) return EvictionBlocker::RunsToCompletion;
+    if (!spec.service && !has_checkpoints && !task.patience_expired)
+      return EvictionBlocker::RunsToCompletion;
     if (spec.service && limits_.moving_jobs.contains(task.uid))
       return EvictionBlocker::DisruptionLimit;
     return std::nullopt;
   }
 
-  struct Found {
-    EvictionTarget* target = nullptr;  ///< nullptr: no machine has room
-    bool constrained = false;          ///< fitting machines are only where its zones forbid it
+  struct TargetSearch {
+    EvictionTarget* target = nullptr;  ///< nullptr: no allowed machine has free capacity
+    bool zone_constrained = false;  ///< suitable machines exist only in zones that are not allowed
   };
-  Found find_target(const TaskOnDrainedMachine& task) {
+  TargetSearch find_target(const TaskOnDrainedMachine& task) {
     const auto& spec = *task.spec;
     const auto need = wire::Resources::of(spec);
-    Found out;
-    bool any = false;
-    bool any_allowed = false;
+    TargetSearch out;
+    bool any_compatible = false;
+    bool any_in_allowed_zone = false;
     for (auto& target : targets_) {
       if (!spec.allows_type(target.type) || (target.spot && !spec.spot)) continue;
-      any = true;
+      any_compatible = true;
       if (!zones_allow(spec, limits_.tasks_by_zone(task.uid), task.zone, target.zone)) continue;
-      any_allowed = true;
+      any_in_allowed_zone = true;
       if (!target.free.fits(need)) continue;
       const bool has_image = target.images.contains(spec.image);
       if (!out.target || (has_image && !out.target->images.contains(spec.image)))
         out.target = &target;
     }
-    out.constrained = any && !any_allowed;
+    out.zone_constrained = any_compatible && !any_in_allowed_zone;
     return out;
   }
 
-  std::vector<EvictionTarget> targets_;  ///< less the room that was set aside
-  EvictionLimits limits_;                ///< less what was decided
+  std::vector<EvictionTarget> targets_;  ///< `free` excludes reserved capacity
+  EvictionLimits limits_;                ///< reduced by the decisions made so far
 };
 }  // namespace
 
--- a/src/drains/eviction_plan.hpp
+++ b/src/drains/eviction_plan.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// Which tasks are evicted from drained machines now, and what keeps the others there. Pure logic.
+// Plans which tasks are evicted from drained machines now, and says why the others are not. Does no
+// I/O.
 #include <functional>
 #include <map>
 #include <optional>
@@ -13,56 +14,57 @@
 namespace limemast::drains {
 /// Why a task on a drained machine is not evicted now.
 enum class EvictionBlocker {
-  AlreadyStopping,   ///< it has been told to stop; its machine has not shown that yet
-  DisruptionLimit,   ///< another replica of its service is being moved, or enough tasks in all are
-  NoCapacity,        ///< no other machine has room for it; the autoscaler launches one where it can
-  ZoneConstraint,    ///< its zone, its spread or its one zone allows no other machine
-  RunsToCompletion,  ///< it saves nothing, so that it may finish until the drain's patience is over
-  Unreachable,       ///< there is no recent heartbeat of its machine
+  AlreadyStopping,   ///< a stop command was sent or the task is saving its state
+  DisruptionLimit,   ///< another replica of its service is moving, or the limit of moves is reached
+  NoCapacity,        ///< no machine has free capacity; the autoscaler launches one where it can
+  ZoneConstraint,    ///< its zone, spread or single-zone constraint allows no other machine
+  RunsToCompletion,  ///< it has no checkpoints and may finish until the drain's patience expires
+  Unreachable,       ///< its machine has sent no recent heartbeat
 };
-/// The blocker as the operators' interface spells it.
+/// The blocker's name in the operator API.
 const char* name_of(EvictionBlocker blocker);
 
-/// A task on a drained machine, with what decides about it.
+/// A task on a drained machine and the inputs to the decision about it.
 struct TaskOnDrainedMachine {
   std::string machine;
   std::string zone;
-  std::string uid;  ///< of its job
+  std::string uid;  ///< uid of the job
   std::uint32_t index = 0;
   std::uint64_t attempt = 0;
-  bool reachable = true;                ///< there is a recent heartbeat of its machine
-  bool stopping = false;                ///< told to stop already, or saving
-  bool past_patience = false;           ///< the drain is older than its patience
-  const wire::JobSpec* spec = nullptr;  ///< of its job; never nullptr
+  bool reachable = true;                ///< its machine has sent a recent heartbeat
+  bool stopping = false;                ///< a stop command was just sent, or the task is saving
+  bool patience_expired = false;        ///< a drain of the machine is older than the patience
+  const wire::JobSpec* spec = nullptr;  ///< spec of the job; never nullptr
 };
 
-/// Room on a machine that is not drained and takes work.
+/// A machine to which evicted tasks can move: not drained and accepting tasks.
 struct EvictionTarget {
   std::string machine;
   std::string zone;
   std::string type;
   bool spot = false;
   wire::Resources free;
-  std::set<std::string> images;  ///< those it has of the images that the tasks need
+  std::set<std::string> images;  ///< cached images, limited to those that the tasks need
 };
 
 struct EvictionDecision {
   const TaskOnDrainedMachine* task = nullptr;
-  std::optional<EvictionBlocker> blocker;  ///< empty: stop the task now
-  std::string target;                      ///< the machine that has room for it; "": none
+  std::optional<EvictionBlocker> blocker;  ///< empty: the task is evicted now
+  std::string target;                      ///< machine with reserved capacity; empty: none
 };
 
-/// What the evictions of one step must respect.
+/// Limits on the evictions of one step.
 struct EvictionLimits {
-  /// Where the tasks of a job are, by zone.
+  /// Returns the number of a job's assigned tasks by zone.
   std::function<const std::map<std::string, std::uint32_t>&(const std::string& uid)> tasks_by_zone;
-  std::set<std::string> moving_jobs;  ///< with a task that was evicted and does not run again yet
-  std::size_t most = 0;               ///< tasks that may be evicted now
+  std::set<std::string> moving_jobs;  ///< jobs with an incomplete eviction
+  std::size_t max_evictions = 0;
 };
 
-/// Decides about each task whether it is evicted now. A task never runs twice at once, so that a
-/// replica cannot start elsewhere while it runs here: instead room is set aside for it first, and
-/// of one service one replica is moved at a time. Services come first, and higher ranks.
+/// Decides for each task whether it is evicted now. A replica cannot start elsewhere before it has
+/// stopped, because a task must never run twice at the same time. The plan therefore reserves free
+/// capacity for it before the eviction, and moves one replica of a service at a time. Services are
+/// considered before other tasks, and higher ranks before lower ones.
 std::vector<EvictionDecision> plan_evictions(const std::vector<TaskOnDrainedMachine>& tasks,
                                              std::vector<EvictionTarget> targets,
                                              EvictionLimits limits);
--- a/tests/drains/eviction_plan_test.cpp
+++ b/tests/drains/eviction_plan_test.cpp
@@ -24,8 +24,8 @@
     out.rank = wire::Rank::Low;
     return out;
   }
-  static TaskOnDrainedMachine on(const wire::JobSpec& spec, std::uint32_t index,
-                                 const std::string& zone = "a") {
+  static TaskOnDrainedMachine task_of(const wire::JobSpec& spec, std::uint32_t index,
+                                      const std::string& zone = "a") {
     TaskOnDrainedMachine task;
     task.machine = "old";
     task.zone = zone;
@@ -34,15 +34,15 @@
     task.spec = &spec;
     return task;
   }
-  static EvictionTarget room(const std::string& zone, double cpus, bool spot = false) {
+  static EvictionTarget target(const std::string& zone, double cpus, bool spot = false) {
     return {"new-" + zone, zone, "small", spot, {cpus, 1e9, 0}, {}};
   }
   std::vector<std::optional<EvictionBlocker>> blockers(
       const std::vector<TaskOnDrainedMachine>& tasks, std::vector<EvictionTarget> targets,
-      const std::set<std::string>& moving = {}, std::size_t most = 10) {
+      const std::set<std::string>& moving = {}, std::size_t max_evictions = 10) {
     std::vector<std::optional<EvictionBlocker>> out;
     const EvictionLimits limits{[&](const std::string&) -> const Zones& { return zones_; }, moving,
-                                most};
+                                max_evictions};
     for (const auto& decision : plan_evictions(tasks, std::move(targets), limits))
       out.push_back(decision.blocker);
     return out;
@@ -53,73 +53,74 @@
 };
 using Blockers = std::vector<std::optional<EvictionBlocker>>;
 
-TEST_F(EvictionPlanTest, OneReplicaOfAServiceAtATime) {
-  EXPECT_EQ(blockers({on(service_, 0), on(service_, 1)}, {room("b", 8)}),
+TEST_F(EvictionPlanTest, OnlyOneReplicaOfAServiceIsMovedAtATime) {
+  EXPECT_EQ(blockers({task_of(service_, 0), task_of(service_, 1)}, {target("b", 8)}),
             (Blockers{std::nullopt, EvictionBlocker::DisruptionLimit}));
-  EXPECT_EQ(blockers({on(service_, 0)}, {room("b", 8)}, {service_.uid}),
+  EXPECT_EQ(blockers({task_of(service_, 0)}, {target("b", 8)}, {service_.uid}),
             (Blockers{EvictionBlocker::DisruptionLimit}));
 }
 
-TEST_F(EvictionPlanTest, NothingIsEvictedWithoutRoomElsewhere) {
-  EXPECT_EQ(blockers({on(service_, 0)}, {}), (Blockers{EvictionBlocker::NoCapacity}));
-  EXPECT_EQ(blockers({on(service_, 0)}, {room("b", 1.5)}), (Blockers{EvictionBlocker::NoCapacity}));
-  EXPECT_EQ(blockers({on(service_, 0)}, {room("b", 8, true)}),
+TEST_F(EvictionPlanTest, NothingIsEvictedWithoutFreeCapacityElsewhere) {
+  EXPECT_EQ(blockers({task_of(service_, 0)}, {}), (Blockers{EvictionBlocker::NoCapacity}));
+  EXPECT_EQ(blockers({task_of(service_, 0)}, {target("b", 1.5)}),
+            (Blockers{EvictionBlocker::NoCapacity}));
+  EXPECT_EQ(blockers({task_of(service_, 0)}, {target("b", 8, true)}),
             (Blockers{EvictionBlocker::NoCapacity}))
       << "a service does not go to a spot machine";
   auto other = service_;
   other.uid = "wk-000003";
-  EXPECT_EQ(blockers({on(service_, 0), on(other, 0)}, {room("b", 2)}),
+  EXPECT_EQ(blockers({task_of(service_, 0), task_of(other, 0)}, {target("b", 2)}),
             (Blockers{std::nullopt, EvictionBlocker::NoCapacity}))
-      << "room is set aside once";
+      << "capacity is reserved for one task only";
 }
 
 TEST_F(EvictionPlanTest, AZoneConstraintBlocksAnEviction) {
-  service_.spread = true;  // two of four in one zone at the most
-  EXPECT_EQ(blockers({on(service_, 0)}, {room("b", 8)}),
+  service_.spread = true;  // at most two of four in one zone
+  EXPECT_EQ(blockers({task_of(service_, 0)}, {target("b", 8)}),
             (Blockers{EvictionBlocker::ZoneConstraint}));
-  EXPECT_EQ(blockers({on(service_, 0)}, {room("a", 8)}), (Blockers{std::nullopt}))
-      << "within its zone the count stays what it was";
-  EXPECT_EQ(blockers({on(service_, 0)}, {room("c", 8)}), (Blockers{std::nullopt}));
+  EXPECT_EQ(blockers({task_of(service_, 0)}, {target("a", 8)}), (Blockers{std::nullopt}))
+      << "a move within its zone does not change the count";
+  EXPECT_EQ(blockers({task_of(service_, 0)}, {target("c", 8)}), (Blockers{std::nullopt}));
   service_.spread = false;
   service_.zone = "a";
-  EXPECT_EQ(blockers({on(service_, 0)}, {room("b", 8)}),
+  EXPECT_EQ(blockers({task_of(service_, 0)}, {target("b", 8)}),
             (Blockers{EvictionBlocker::ZoneConstraint}));
   service_.zone.reset();
   service_.one_zone = true;
   zones_ = {{"a", 2}};
-  EXPECT_EQ(blockers({on(service_, 0)}, {room("b", 8)}),
+  EXPECT_EQ(blockers({task_of(service_, 0)}, {target("b", 8)}),
             (Blockers{EvictionBlocker::ZoneConstraint}))
       << "the other replica would be in another zone";
   zones_ = {{"a", 1}};
-  EXPECT_EQ(blockers({on(service_, 0)}, {room("b", 8)}), (Blockers{std::nullopt}));
+  EXPECT_EQ(blockers({task_of(service_, 0)}, {target("b", 8)}), (Blockers{std::nullopt}));
 }
 
-TEST_F(EvictionPlanTest, ArraysRunToCompletionUntilThePatienceIsOver) {
-  EXPECT_EQ(blockers({on(array_, 0)}, {room("b", 8)}),
+TEST_F(EvictionPlanTest, JobArraysRunToCompletionUntilThePatienceExpires) {
+  EXPECT_EQ(blockers({task_of(array_, 0)}, {target("b", 8)}),
             (Blockers{EvictionBlocker::RunsToCompletion}));
-  auto late = on(array_, 0);
-  late.past_patience = true;
+  auto late = task_of(array_, 0);
+  late.patience_expired = true;
   EXPECT_EQ(blockers({late}, {}), (Blockers{std::nullopt}))
-      << "then it returns to the queue, room or none";
+      << "it is requeued even without free capacity elsewhere";
   array_.checkpoint_every = wire::Seconds(20);
-  EXPECT_EQ(blockers({on(array_, 0)}, {room("b", 8)}), (Blockers{std::nullopt}))
+  EXPECT_EQ(blockers({task_of(array_, 0)}, {target("b", 8)}), (Blockers{std::nullopt}))
       << "a task with checkpoints loses nothing";
-  EXPECT_EQ(blockers({on(array_, 0)}, {}), (Blockers{EvictionBlocker::NoCapacity}));
+  EXPECT_EQ(blockers({task_of(array_, 0)}, {}), (Blockers{EvictionBlocker::NoCapacity}));
 }
 
-TEST_F(EvictionPlanTest, ServicesTakeTheRoomFirstAndTheDisruptionLimitHolds) {
+TEST_F(EvictionPlanTest, ServicesReserveCapacityFirstAndTheDisruptionLimitHolds) {
   array_.checkpoint_every = wire::Seconds(20);
-  EXPECT_EQ(blockers({on(array_, 0), on(service_, 0)}, {room("b", 2)}),
+  EXPECT_EQ(blockers({task_of(array_, 0), task_of(service_, 0)}, {target("b", 2)}),
             (Blockers{std::nullopt, EvictionBlocker::NoCapacity}))
-      << "in the order of the plan: the service is first";
-  EXPECT_EQ(blockers({on(service_, 0)}, {room("b", 8)}, {}, 0),
+      << "decisions are in plan order: the service comes first";
+  EXPECT_EQ(blockers({task_of(service_, 0)}, {target("b", 8)}, {}, 0),
             (Blockers{EvictionBlocker::DisruptionLimit}));
-  auto silent = on(service_, 0);
+  auto silent = task_of(service_, 0);
   silent.reachable = false;
-  EXPECT_EQ(blockers({silent}, {room("b", 8)}), (Blockers{EvictionBlocker::Unreachable}));
+  EXPECT_EQ(blockers({silent}, {target("b", 8)}), (Blockers{EvictionBlocker::Unreachable}));
 }
 
-TEST(DrainRecord, OnlyValidRecordsAreTaken) {
+TEST(DrainRecord, OnlyValidRecordsAreAccepted) {
   Drain d;
   d.kind = Kind::Zone;
   d.name = "a-1";
