--- a/src/messages/machines.cpp
+++ b/src/messages/machines.cpp
@@ -14,14 +14,14 @@
 }
 
 namespace {
-/// A heard machine takes so many elements of the flat list.
-constexpr std::size_t kElements = 3;
+/// Each machine is encoded as this many consecutive elements of a flat array.
+constexpr std::size_t kElementsPerMachine = 3;
 }  // namespace
 
 void to_json(wire::json& json, const HeartbeatDigest& message) {
   auto machines = wire::json::array();
   auto& list = machines.get_ref<wire::json::array_t&>();
-  list.reserve(kElements * message.machines.size());
+  list.reserve(kElementsPerMachine * message.machines.size());
   for (const auto& entry : message.machines) {
     list.emplace_back(entry.machine);
     list.emplace_back(entry.incarnation);
@@ -34,12 +34,12 @@
 
 void from_json(const wire::json& json, HeartbeatDigest& message) {
   message.store_available = json.at("served").get<bool>();
-  // Earlier builds do not tell their load.
+  // Earlier builds do not send their load.
   const auto load = json.find("load");
   message.load = load != json.end() ? load->get<double>() : 0;
   const auto& list = json.at("machines");
-  message.machines.reserve(list.size() / kElements);
-  for (std::size_t i = 0; i + kElements <= list.size(); i += kElements)
+  message.machines.reserve(list.size() / kElementsPerMachine);
+  for (std::size_t i = 0; i + kElementsPerMachine <= list.size(); i += kElementsPerMachine)
     message.machines.push_back({list[i].get<std::string>(), list[i + 1].get<std::uint64_t>(),
                                 list[i + 2].get<std::uint64_t>()});
 }
--- a/src/messages/machines.hpp
+++ b/src/messages/machines.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Messages between controllers about machines: what their workers' heartbeats show, and who asks
-// machines that no controller hears.
+// Messages between controllers about machines: forwarded heartbeats, the adoption of machines that
+// no controller has heartbeats from, and fencing tokens.
 #include <optional>
 #include <string>
 #include <vector>
@@ -9,20 +9,21 @@
 #include "wire/worker.hpp"
 
 namespace limemast::messages {
-/// A worker's heartbeat, passed on by the controller that the worker is attached to.
+/// A worker's heartbeat, forwarded by the controller to which the worker is attached.
 struct ForwardHeartbeat {
   static constexpr const char* kKind = "report";
-  std::optional<wire::Heartbeat> heartbeat;  ///< nullopt: it could not be read
-  bool sent_by_worker = false;  ///< false: it is the body of the answer to a direct command
+  std::optional<wire::Heartbeat> heartbeat;  ///< nullopt: it could not be parsed
+  bool sent_by_worker = false;               ///< false: taken from the response to a direct command
   bool operator==(const ForwardHeartbeat&) const = default;
 };
 void to_json(wire::json& json, const ForwardHeartbeat& message);
 void from_json(const wire::json& json, ForwardHeartbeat& message);
 
-/// Which machines the sender has heard lately, and its own state; once a second.
+/// Sent once a second: identifies the newest heartbeats that the sender has received, and reports
+/// its own state. Peers request missing heartbeats with ResendHeartbeats.
 struct HeartbeatDigest {
   static constexpr const char* kKind = "heard";
-  /// The newest heartbeat of a machine that the sender has forwarded.
+  /// Identifies the newest heartbeat of a machine that the sender has forwarded.
   struct Entry {
     std::string machine;
     std::uint64_t incarnation = 0;
@@ -30,14 +31,14 @@
     bool operator==(const Entry&) const = default;
   };
   std::vector<Entry> machines;
-  bool store_available = false;  ///< the key-value store serves the sender
-  double load = 0;               ///< share of its time, 0 to 1, in which its event loop had work
+  bool store_available = false;  ///< whether the sender can use the key-value store
+  double load = 0;               ///< utilization of the sender's event loop, 0 to 1
   bool operator==(const HeartbeatDigest&) const = default;
 };
 void to_json(wire::json& json, const HeartbeatDigest& message);
 void from_json(const wire::json& json, HeartbeatDigest& message);
 
-/// Asks for the newest heartbeat of machines of which the sender lacks it.
+/// Requests the newest heartbeats of these machines, which the sender lacks.
 struct ResendHeartbeats {
   static constexpr const char* kKind = "resend";
   std::vector<std::string> machines;
@@ -46,7 +47,8 @@
 void to_json(wire::json& json, const ResendHeartbeats& message);
 void from_json(const wire::json& json, ResendHeartbeats& message);
 
-/// The receiver is to ask these machines, which no member has heard, for their state.
+/// Assigns machines from which no member has a heartbeat to the receiver, which must query their
+/// state.
 struct AdoptMachines {
   static constexpr const char* kKind = "claim";
   struct Entry {
@@ -60,7 +62,8 @@
 void to_json(wire::json& json, const AdoptMachines& message);
 void from_json(const wire::json& json, AdoptMachines& message);
 
-/// Commands to the machine must bear at least this token: lower ones may still be under way.
+/// Commands to the machine must carry at least this fencing token, because commands with lower
+/// tokens may still be in flight.
 struct RaiseFencingToken {
   static constexpr const char* kKind = "fence";
   std::string machine;
--- a/src/messages/membership.hpp
+++ b/src/messages/membership.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// Messages between controllers by which each tells that it lives and whom it hears. As for all
-// messages: to_json and from_json are the only place where the names used on the links stand;
-// from_json throws wire::json::exception if a field is missing or of another type.
+// Heartbeats between controllers. For all messages in this directory, only to_json and from_json
+// contain the field names used on the links, and from_json throws wire::json::exception if a
+// required field is missing or has the wrong type.
 #include <set>
 #include <string>
 
@@ -9,11 +9,11 @@
 #include "wire/job.hpp"
 
 namespace limemast::messages {
-/// Heartbeat of a controller, once a second, to all other members.
+/// Heartbeat of a controller, sent to all other members once a second.
 struct MemberHeartbeat {
   static constexpr const char* kKind = "beat";
-  bool store_available = false;           ///< the key-value store serves the sender
-  std::set<ids::ControllerId> reachable;  ///< whom the sender hears
+  bool store_available = false;           ///< whether the sender can use the key-value store
+  std::set<ids::ControllerId> reachable;  ///< members whose heartbeats the sender receives
   bool operator==(const MemberHeartbeat&) const = default;
 };
 void to_json(wire::json& json, const MemberHeartbeat& message);
--- a/src/messages/operators.hpp
+++ b/src/messages/operators.hpp
@@ -1,14 +1,14 @@
 #pragma once
-// Messages by which a controller that serves the operator API gathers what only others know.
+// Messages with which a controller that serves the operator API collects data from other members.
 #include <string>
 
 #include "wire/job.hpp"
 
 namespace limemast::messages {
-/// Asks a member for its part of an answer.
+/// Asks a member for its part of a response.
 struct OperatorQuery {
   static constexpr const char* kKind = "tell";
-  std::uint64_t id = 0;  ///< of the query; the reply bears the same
+  std::uint64_t id = 0;  ///< correlates the reply with the query
   std::string what;      ///< name of the part
   wire::json arguments;  ///< JSON of the operator API
   bool operator==(const OperatorQuery&) const = default;
@@ -16,7 +16,7 @@
 void to_json(wire::json& json, const OperatorQuery& message);
 void from_json(const wire::json& json, OperatorQuery& message);
 
-/// The member's part.
+/// The member's part of the response.
 struct OperatorReply {
   static constexpr const char* kKind = "told";
   std::uint64_t id = 0;
--- a/src/messages/probes.cpp
+++ b/src/messages/probes.cpp
@@ -4,10 +4,10 @@
 namespace {
 using Names = std::set<std::string>;
 
-wire::json version_json(const MapVersion& version) {
+wire::json version_to_json(const MapVersion& version) {
   return wire::json::array({version.epoch, version.serial});
 }
-MapVersion version_from(const wire::json& json) {
+MapVersion version_from_json(const wire::json& json) {
   return {json.at(0).get<ids::EpochNumber>(), json.at(1).get<std::uint64_t>()};
 }
 
@@ -16,7 +16,7 @@
   json["short_part"] = groups.short_partition;
   json["kept_free"] = groups.reserved_for_services;
 }
-MachineGroups groups_from(const wire::json& json) {
+MachineGroups groups_from_json(const wire::json& json) {
   return {json.at("with_long").get<Names>(), json.at("short_part").get<Names>(),
           json.at("kept_free").get<Names>()};
 }
@@ -31,7 +31,7 @@
           {"cpus", message.need.cpus},
           {"ram", message.need.ram_gb},
           {"acc", message.need.accelerators},
-          {"map", version_json(message.map)}};
+          {"map", version_to_json(message.map)}};
 }
 
 void from_json(const wire::json& json, PlaceProbes& message) {
@@ -42,7 +42,7 @@
   message.pending_tasks = json.at("left").get<std::uint32_t>();
   message.need = {json.at("cpus").get<double>(), json.at("ram").get<double>(),
                   json.at("acc").get<double>()};
-  message.map = version_from(json.at("map"));
+  message.map = version_from_json(json.at("map"));
 }
 
 void to_json(wire::json& json, const ProbesRejected& message) {
@@ -51,7 +51,7 @@
           {"long", message.behind_long_tasks},
           {"other", message.other_reasons}};
   if (!message.map) return;
-  json["map"] = version_json(message.map->version);
+  json["map"] = version_to_json(message.map->version);
   put_groups(json, message.map->groups);
 }
 
@@ -61,7 +61,7 @@
   message.behind_long_tasks = json.at("long").get<std::vector<std::string>>();
   message.other_reasons = json.at("other").get<std::vector<std::string>>();
   if (const auto map = json.find("map"); map != json.end())
-    message.map = ProbesRejected::NewerMap{version_from(*map), groups_from(json)};
+    message.map = ProbesRejected::NewerMap{version_from_json(*map), groups_from_json(json)};
 }
 
 void to_json(wire::json& json, const ProbesDropped& message) {
@@ -103,7 +103,7 @@
 void from_json(const wire::json& json, LongTaskMapUpdate& message) {
   message.version = {json.at("generation").get<ids::EpochNumber>(),
                      json.at("serial").get<std::uint64_t>()};
-  message.groups = groups_from(json);
+  message.groups = groups_from_json(json);
   message.cordoned = json.at("closed").get<Names>();
   if (const auto classes = json.find("starved"); classes != json.end())
     message.underserved_classes = classes->get<Names>();
--- a/src/messages/tasks.cpp
+++ b/src/messages/tasks.cpp
@@ -26,7 +26,7 @@
   message.uid = json.at("uid").get<std::string>();
   message.machine = json.at("machine").get<std::string>();
   message.none_left = json.at("over").get<bool>();
-  // Earlier builds do not tell it.
+  // Earlier builds do not send this field.
   const auto on_any_machine = json.find("job");
   message.on_any_machine = on_any_machine != json.end() && on_any_machine->get<bool>();
 }
@@ -56,7 +56,7 @@
   message.need = {json.at("cpus").get<double>(), json.at("ram").get<double>(),
                   json.at("acc").get<double>()};
   message.pulled = json.at("pulled").get<bool>();
-  // A command that cannot be read stops nothing.
+  // Commands that cannot be parsed are skipped.
   for (const auto& entry : json.at("evict"))
     if (auto command = wire::parse_command(entry)) message.evictions.push_back(*command);
   message.sent_at = from_milliseconds(json.at("at"));
--- a/tests/messages/machines_test.cpp
+++ b/tests/messages/machines_test.cpp
@@ -38,7 +38,7 @@
       R"({"report":["n-000231","10.1.0.232:9000","g8","a",true,1,88,41,null],"hello":false})");
 }
 
-TEST(ForwardHeartbeat, UnreadableHeartbeatIsNone) {
+TEST(ForwardHeartbeat, UnparsableHeartbeatIsEmpty) {
   expect_round_trip(ForwardHeartbeat{}, R"({"report":null,"hello":false})");
   const auto message = wire::json::parse(R"({"report":["n-000231"]})").get<ForwardHeartbeat>();
   EXPECT_FALSE(message.heartbeat);
@@ -54,7 +54,7 @@
   expect_fields_required<HeartbeatDigest>(literal, {"load"});
 }
 
-TEST(HeartbeatDigest, LoadThatEarlierBuildsDoNotTellIsZero) {
+TEST(HeartbeatDigest, MissingLoadFromEarlierBuildsIsZero) {
   const auto message = wire::json::parse(R"({"machines":[],"served":true})").get<HeartbeatDigest>();
   EXPECT_EQ(message.load, 0);
 }
--- a/tests/messages/probes_test.cpp
+++ b/tests/messages/probes_test.cpp
@@ -92,7 +92,7 @@
   expect_fields_required<LongTaskMapUpdate>(literal, {"starved", "coming"});
 }
 
-TEST(LongTaskMapUpdate, NoUnderservedClassesAndUnknownProvisioningAreLeftOut) {
+TEST(LongTaskMapUpdate, EmptyUnderservedClassesAndUnknownProvisioningAreOmitted) {
   const auto* literal = R"({
     "generation":31,"serial":4,"closed":[],"with_long":[],"short_part":[],"kept_free":[]})";
   expect_round_trip(LongTaskMapUpdate{.version = version(),
@@ -104,7 +104,7 @@
   expect_fields_required<LongTaskMapUpdate>(literal);
 }
 
-TEST(LongTaskMapUpdate, NothingBeingProvisionedIsTold) {
+TEST(LongTaskMapUpdate, EmptyProvisioningIsSent) {
   expect_round_trip(
       LongTaskMapUpdate{.version = version(),
                         .groups = {},
--- a/tests/messages/quota_test.cpp
+++ b/tests/messages/quota_test.cpp
@@ -4,7 +4,7 @@
 
 namespace limemast::messages {
 namespace {
-/// Memory has no quota: it is not written.
+/// Memory has no quota and is not encoded.
 wire::Resources amount(double cpus, double accelerators) {
   return {.cpus = cpus, .ram_gb = 0, .accelerators = accelerators};
 }
--- a/tests/messages/round_trip.hpp
+++ b/tests/messages/round_trip.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// What each test of a message checks: the JSON that is written, the message that is read back, and
-// which fields must be there.
+// Checks shared by the message tests: the encoded JSON, the decoded message, and the required
+// fields.
 #include <set>
 #include <string>
 
@@ -9,8 +9,8 @@
 #include "wire/cbor.hpp"
 
 namespace limemast::messages {
-/// The message is written as exactly this JSON (kinds of numbers included: 2 is not 2.0) and reads
-/// back as it was, from the JSON and from its CBOR frame.
+/// Expects that the message encodes to exactly this JSON, including number types (2 is not 2.0),
+/// and that it decodes to the same message from the JSON and from its CBOR frame.
 template <class Message>
 void expect_round_trip(const Message& message, const std::string& literal) {
   const auto expected = wire::json::parse(literal);
@@ -23,18 +23,18 @@
   EXPECT_TRUE(received->get<Message>() == message) << literal;
 }
 
-/// Without any one of its fields the JSON is no such message; those in `optional` may be missing.
+/// Expects that decoding fails if any one field is missing, except for fields in `optional`.
 template <class Message>
 void expect_fields_required(const std::string& literal,
                             const std::set<std::string>& optional = {}) {
-  const auto whole = wire::json::parse(literal);
-  for (const auto& [field, value] : whole.items()) {
-    auto part = whole;
-    part.erase(field);
+  const auto complete_message = wire::json::parse(literal);
+  for (const auto& [field, value] : complete_message.items()) {
+    auto partial_message = complete_message;
+    partial_message.erase(field);
     if (optional.contains(field))
-      EXPECT_NO_THROW(part.get<Message>()) << field;
+      EXPECT_NO_THROW(partial_message.get<Message>()) << field;
     else
-      EXPECT_THROW(part.get<Message>(), wire::json::exception) << field;
+      EXPECT_THROW(partial_message.get<Message>(), wire::json::exception) << field;
   }
 }
 }  // namespace limemast::messages
--- a/tests/messages/tasks_test.cpp
+++ b/tests/messages/tasks_test.cpp
@@ -32,7 +32,7 @@
   expect_fields_required<NoTask>(literal, {"job"});
 }
 
-TEST(NoTask, WhatEarlierBuildsDoNotTellIsForThisMachineOnly) {
+TEST(NoTask, MissingScopeFromEarlierBuildsMeansThisMachineOnly) {
   const auto message =
       wire::json::parse(R"({"uid":"wk-000412","machine":"n-000231","over":true})").get<NoTask>();
   EXPECT_FALSE(message.on_any_machine);
@@ -58,7 +58,7 @@
   expect_fields_required<StartTask>(literal);
 }
 
-TEST(StartTask, EvictionThatCannotBeReadIsLeftOut) {
+TEST(StartTask, UnparsableEvictionIsSkipped) {
   wire::json json = StartTask{.machine = "n-000231",
                               .incarnation = 5,
                               .uid = "wk-000398",
@@ -83,7 +83,7 @@
   expect_fields_required<CommandWorker>(literal);
 }
 
-TEST(CommandWorker, OnlyAStopBearsAGracePeriod) {
+TEST(CommandWorker, OnlyAStopHasAGracePeriod) {
   const wire::Command forget{.kind = wire::CommandKind::Forget,
                              .uid = "wk-000412",
                              .index = 3,
@@ -94,7 +94,7 @@
       R"({"machine":"n-000231","order":{"verb":"clear","shard":"wk-000412/3","tryNo":2},"at":1700000000123})");
 }
 
-TEST(CommandWorker, UnreadableCommandIsNone) {
+TEST(CommandWorker, UnparsableCommandIsEmpty) {
   expect_round_trip(
       CommandWorker{.machine = "n-000231", .command = std::nullopt, .sent_at = kSentAt},
       R"({"machine":"n-000231","order":null,"at":1700000000123})");
