--- a/src/drains/drain.cpp
+++ b/src/drains/drain.cpp
@@ -55,7 +55,7 @@
       (terminate_when_empty != record.end() && !terminate_when_empty->is_boolean()))
     return std::nullopt;
   drain->requested_at = net::WallTime(std::chrono::milliseconds(requested_at->get<std::int64_t>()));
-  if (note != record.end()) drain->note = note->get<std::string>().substr(0, kMaxNote);
+  if (note != record.end()) drain->note = note->get<std::string>().substr(0, kMaxNoteBytes);
   if (terminate_when_empty != record.end())
     drain->terminate_when_empty = terminate_when_empty->get<bool>();
   return drain;
--- a/src/drains/drain.hpp
+++ b/src/drains/drain.hpp
@@ -17,14 +17,14 @@
   Kind kind = Kind::Machine;
   std::string name;                   ///< name of the machine or the zone
   net::WallTime requested_at{};       ///< time of the first request
-  std::string note;                   ///< text from the requester; at most kMaxNote bytes
+  std::string note;                   ///< text from the requester; at most kMaxNoteBytes
   bool terminate_when_empty = false;  ///< whether machines are terminated once they are empty
   bool covers(const std::string& machine, const std::string& zone) const {
     return name == (kind == Kind::Machine ? machine : zone);
   }
   bool operator==(const Drain&) const = default;
 };
-constexpr std::size_t kMaxNote = 200;    ///< bytes
+constexpr std::size_t kMaxNoteBytes = 200;
 constexpr std::size_t kMaxDrains = 200;  ///< each drain is a key that every controller caches
 
 /// The id of a drain in the store and in the operator API, for example "machine/n-000231".
--- a/src/operator_api/views.cpp
+++ b/src/operator_api/views.cpp
@@ -319,7 +319,7 @@
   auto d = *drains::parse_id(id);
   d.requested_at = runtime_.wall();
   if (const auto it = given.find("note"); it != given.end()) {
-    if (!it->is_string() || it->get_ref<const std::string&>().size() > drains::kMaxNote)
+    if (!it->is_string() || it->get_ref<const std::string&>().size() > drains::kMaxNoteBytes)
       return respond(error(400, "note: must be a text of 200 bytes at the most"));
     d.note = it->get<std::string>();
   }
