--- a/src/cloud/scale_in.hpp
+++ b/src/cloud/scale_in.hpp
@@ -9,8 +9,8 @@
 #include "drains/drain.hpp"
 
 namespace limemast::cloud {
-/// Scales in in two steps: a machine is cordoned first. It is marked for termination once every
-/// controller knows of the cordon and no task is left on the machine.
+/// Removes machines in two steps: a machine is cordoned first. It is marked for termination once
+/// every controller knows of the cordon and no task is left on the machine.
 class ScaleIn {
  public:
   ScaleIn(net::Runtime& runtime, const wire::Settings& settings, const machines::Registry& registry,
