--- a/src/jobs/prober.cpp
+++ b/src/jobs/prober.cpp
@@ -51,7 +51,10 @@
 }
 
 std::size_t Prober::redraw(Job& job, std::size_t count, int stage) {
-const auto & candidates = candidates_ . matching ( job . record . spec , runtime_ . now ( ) ) ; while ( count > 0 && ++ stage <= machines::kLastResortStage ) { auto machines = machines_for_stage ( job , candidates . machines , stage ) ; const auto chosen = scheduling::random_sample ( std::move ( machines ) , count , runtime_ . random ( ) ) ;
+  const auto& candidates = candidates_.matching(job.record.spec, runtime_.now());
+  while (count > 0 && ++stage <= machines::kLastResortStage) {
+    auto machines = machines_for_stage(job, candidates.machines, stage);
+    const auto chosen = scheduling::random_sample(std::move(machines), count, runtime_.random());
     count -= chosen.size();
     send(job, chosen, stage);
   }
@@ -81,7 +84,10 @@
   if (probing.machines.empty() || job.pending() == 0 || without_progress < kFurtherProbesAfter ||
       now < probing.further_probes_after)
     return;
-probing . further_probes_after = now + kFurtherProbesInterval ; const bool anywhere = without_progress >= kProbeAnywhereAfter ; auto machines = candidates_ . with_free_capacity ( job . record . spec , now ) ; const auto & closed_to_short_jobs = registry_ . long_task_map ( ) . closed_to_short_jobs ;
+  probing.further_probes_after = now + kFurtherProbesInterval;
+  const bool anywhere = without_progress >= kProbeAnywhereAfter;
+  auto machines = candidates_.with_free_capacity(job.record.spec, now);
+  const auto& closed_to_short_jobs = registry_.long_task_map().closed_to_short_jobs;
   std::erase_if(machines, [&](ids::DenseId machine) {
     return probing.machines.contains(machine) || !candidates_.accepts_tasks(machine) ||
            (!anywhere && closed_to_short_jobs.contains(machine));
@@ -149,7 +155,7 @@
   if (message.map) apply_map(*message.map);
   if (!job) return;
   // Probes that were rejected for other reasons than long tasks are replaced by a later `top_up`.
-  if (remove_probes(*job, message.otherwise) > 0) {
+  if (remove_probes(*job, message.other_reasons) > 0) {
     job->probing.exhausted_candidates_version = 0;
     if (!job->probing.machines.empty()) job->probing.redraw_after = runtime_.now() + kRedrawPause;
   }
--- a/src/machines/attached_machines.hpp
+++ b/src/machines/attached_machines.hpp
@@ -54,7 +54,7 @@
   std::uint64_t incarnation = 0;
   std::uint64_t sequence = 0;
   bool sent_by_worker = false;  ///< false: it was the body of the response to a direct command
-  bool received_since_announcement = false;  ///< a heartbeat came since the last `HeardMachines`
+  bool received_since_announcement = false;  ///< a heartbeat came since the last `HeartbeatDigest`
 };
 
 /// One attached machine, with a member for each class that works on it.
--- a/src/machines/heartbeat_forwarder.hpp
+++ b/src/machines/heartbeat_forwarder.hpp
@@ -7,7 +7,7 @@
 namespace limemast::machines {
 class HeartbeatForwarder {
  public:
-  /// Registers the handlers of `HeardMachines` and `ResendHeartbeats`.
+  /// Registers the handlers of `HeartbeatDigest` and `ResendHeartbeats`.
   HeartbeatForwarder(const GatewayContext& context, AttachedMachines& attached,
                      PeerLoads& peer_loads);
 
@@ -29,7 +29,8 @@
   void announce_received_heartbeats(double own_load);
 
  private:
-  void on_heard_machines(const cluster::ControllerId& from, const messages::HeardMachines& message);
+  void on_heard_machines(const cluster::ControllerId& from,
+                         const messages::HeartbeatDigest& message);
   void on_resend(const cluster::ControllerId& from, const messages::ResendHeartbeats& message);
 
   GatewayContext context_;
--- a/src/machines/peer_loads.hpp
+++ b/src/machines/peer_loads.hpp
@@ -14,8 +14,10 @@
   explicit PeerLoads(const GatewayContext& context) : context_(context) {}
 
   /// Stores the load and store availability that `from` reports.
-  void record(const cluster::ControllerId& from, const messages::HeardMachines& message);
-  /// Share of the time since the last call, 0 to 1, in which this process's event loop was busy.
+  void record(
+      const cluster::ControllerId& from,
+      const messages::HeartbeatDigest& message);  /// Share of the time since the last call, 0 to 1,
+                                                  /// in which this process's event loop was busy.
   double measure_own_load();
   /// Detects gaps in the members' reports. A machine's silence during a gap proves nothing, so the
   /// gap resets `Registry::peers_connected_since`.
--- a/tests/messages/machines_test.cpp
+++ b/tests/messages/machines_test.cpp
@@ -38,24 +38,24 @@
       R"({"report":["n-000231","10.1.0.232:9000","g8","a",true,1,88,41,null],"hello":false})");
 }
 
-TEST(ForwardHeartbeat, UnreadableHeartbeatIsNone) {
+TEST(ForwardHeartbeat, UnparsableHeartbeatIsEmpty) {
   expect_round_trip(ForwardHeartbeat{}, R"({"report":null,"hello":false})");
   const auto message = wire::json::parse(R"({"report":["n-000231"]})").get<ForwardHeartbeat>();
   EXPECT_FALSE(message.heartbeat);
 }
 
-TEST(HeardMachines, RoundTrip) {
-  const HeardMachines message{
+TEST(HeartbeatDigest, RoundTrip) {
+  const HeartbeatDigest message{
       .machines = {{"n-000231", 1, 88}, {"n-000007", 3, 2}}, .store_available = true, .load = 0.25};
   const auto* literal =
       R"({"machines":["n-000231",1,88,"n-000007",3,2],"served":true,"load":0.25})";
-  EXPECT_STREQ(HeardMachines::kKind, "heard");
+  EXPECT_STREQ(HeartbeatDigest::kKind, "heard");
   expect_round_trip(message, literal);
-  expect_fields_required<HeardMachines>(literal, {"load"});
+  expect_fields_required<HeartbeatDigest>(literal, {"load"});
 }
 
-TEST(HeardMachines, LoadThatEarlierBuildsDoNotTellIsZero) {
-  const auto message = wire::json::parse(R"({"machines":[],"served":true})").get<HeardMachines>();
+TEST(HeartbeatDigest, MissingLoadFromEarlierBuildsIsZero) {
+  const auto message = wire::json::parse(R"({"machines":[],"served":true})").get<HeartbeatDigest>();
   EXPECT_EQ(message.load, 0);
 }
 
