--- a/src/ids/controller_id.hpp
+++ b/src/ids/controller_id.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The identity of one running controller.
+// Identity of a running controller.
 #include <compare>
 #include <cstdint>
 #include <string>
@@ -9,16 +9,16 @@
 #include <spdlog/fmt/fmt.h>
 
 namespace limemast::ids {
-/// One incarnation of one controller: its label and the revision at which its member key was
-/// written, as in "drover-1@412". A controller that restarts gets another id. The empty id names
-/// nobody.
+/// One incarnation of a controller: its label and the revision at which its member key was written,
+/// for example "drover-1@412". A restarted controller gets a new id. The empty id identifies no
+/// controller.
 class ControllerId {
  public:
   ControllerId() = default;
   ControllerId(const std::string& label, std::uint64_t incarnation)
       : text_(label + kSeparator + std::to_string(incarnation)) {}
-  /// An id as text() gave it, out of a message or a stored record. Any text is taken: one that is
-  /// no id equals no member's.
+  /// Creates an id from the form returned by text(), as found in messages and stored records. Any
+  /// text is accepted; one that is not an id matches no member.
   static ControllerId from_text(std::string text) {
     ControllerId id;
     id.text_ = std::move(text);
@@ -26,9 +26,9 @@
   }
 
   bool empty() const { return text_.empty(); }
-  /// The controller's label, which stays the same over restarts.
+  /// The controller's label, which does not change when it restarts.
   std::string label() const { return text_.substr(0, text_.rfind(kSeparator)); }
-  /// The form used in messages and in stored records.
+  /// The form used in messages and stored records.
   const std::string& text() const { return text_; }
   auto operator<=>(const ControllerId&) const = default;
 
--- a/src/ids/dense_id_set.hpp
+++ b/src/ids/dense_id_set.hpp
@@ -1,19 +1,19 @@
 #pragma once
-// Sets of dense ids (id_interner.hpp) as bits.
+// Bit set of dense ids (id_interner.hpp).
 #include <bit>
 #include <vector>
 
 #include "ids/id_interner.hpp"
 
 namespace limemast::ids {
-/// A set of dense ids in one bit each. Of a thousand jobs each knows which of two thousand machines
-/// hold a probe of it, in 250 bytes.
+/// A set of dense ids with one bit per id. A set over 2,000 machines takes 250 bytes, so every job
+/// can keep the set of machines that hold its probes.
 class DenseIdSet {
  public:
   bool contains(DenseId id) const {
     return id / kBits < words_.size() && (words_[id / kBits] & mask(id)) != 0;
   }
-  /// False if it was in already.
+  /// Returns false if the id was already in the set.
   bool insert(DenseId id) {
     if (contains(id)) return false;
     if (id / kBits >= words_.size()) words_.resize(id / kBits + 1);
@@ -21,14 +21,14 @@
     ++size_;
     return true;
   }
-  /// False if it was not in.
+  /// Returns false if the id was not in the set.
   bool erase(DenseId id) {
     if (!contains(id)) return false;
     words_[id / kBits] &= ~mask(id);
     --size_;
     return true;
   }
-  /// Erases all that are in the other set.
+  /// Erases all ids that are in the other set.
   void subtract(const DenseIdSet& other) {
     size_ = 0;
     for (std::size_t w = 0; w < words_.size(); ++w) {
@@ -42,7 +42,8 @@
   }
   std::size_t size() const { return size_; }
   bool empty() const { return size_ == 0; }
-  /// Calls `visit` with each id in ascending order; it may erase the one that it is given.
+  /// Calls `visit` with each id in ascending order. `visit` may erase the id that it is called
+  /// with.
   template <class Visit>
   void for_each(Visit visit) const {
     for (std::size_t w = 0; w < words_.size(); ++w)
--- a/src/ids/fencing.hpp
+++ b/src/ids/fencing.hpp
@@ -1,28 +1,28 @@
 #pragma once
-// Membership epochs, and the fencing tokens by which workers tell older controllers' commands from
-// newer ones'.
+// Membership epoch numbers, and the fencing tokens by which workers distinguish commands of an
+// earlier controller from those of a later one.
 #include "ids/strong_number.hpp"
 
 namespace limemast::ids {
-/// Number of a membership epoch: the revision at which its record was written, so that it only
-/// grows. 0: none yet.
+/// Number of a membership epoch: the revision at which its record was written, so it only
+/// increases. 0 means that there is no epoch yet.
 using EpochNumber = StrongNumber<struct EpochNumberKind>;
 inline constexpr EpochNumber kNoEpoch{};
 
-/// Orders commands to one machine. A worker drops what bears a lower token than it has seen; by its
-/// heartbeats it tells the highest one. The upper bits are the membership epoch in which the
-/// command was given, the lower ones are raised for a single machine where a command may still be
-/// under way.
+/// Orders the commands to one machine. A worker drops a command with a lower token than the highest
+/// one it has seen, which it reports in its heartbeats. The upper bits are the membership epoch in
+/// which the command was issued. The lower bits are incremented for a single machine when an
+/// earlier command to it may still be in transit.
 class FencingToken {
  public:
   constexpr FencingToken() = default;
   constexpr explicit FencingToken(std::uint64_t value) : value_(value) {}
-  /// The lowest token of an epoch.
+  /// Returns the lowest token of an epoch.
   static constexpr FencingToken base(EpochNumber epoch) {
     return FencingToken(epoch.value() << kPerMachineBits);
   }
   constexpr EpochNumber epoch() const { return EpochNumber(value_ >> kPerMachineBits); }
-  /// The lowest token above this one.
+  /// Returns the lowest token above this one.
   constexpr FencingToken next() const { return FencingToken(value_ + 1); }
   constexpr std::uint64_t value() const { return value_; }
   constexpr auto operator<=>(const FencingToken&) const = default;
@@ -31,7 +31,7 @@
   static constexpr unsigned kPerMachineBits = 16;
   std::uint64_t value_ = 0;
 };
-/// Of a worker that no controller has commanded yet.
+/// Token of a worker that has not received a command from any controller.
 inline constexpr FencingToken kNoToken{};
 
 inline void to_json(nlohmann::json& json, const FencingToken& token) { json = token.value(); }
--- a/src/ids/id_interner.hpp
+++ b/src/ids/id_interner.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Dense numbers in place of names, for tables that are looked up often.
+// Maps names to dense integer ids for tables with frequent lookups.
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -8,27 +8,28 @@
 #include <tsl/robin_map.h>
 
 namespace limemast::ids {
-/// Stands for a name. Dense, so that tables by id are vectors. It is valid within one process only,
-/// never sent, and given to another name once its own is released.
+/// Integer id of a name. Ids are dense, so that tables indexed by id can be vectors. An id is valid
+/// within one process only, is never sent, and is reused for another name after its release.
 using DenseId = std::uint32_t;
 
-/// Assigns dense ids to names (of jobs, machines).
-/// Invariant: `names_[id]` is the name of every id that is taken, and `free_` holds all other ids
-/// below `names_.size()`.
+/// Assigns dense ids to the names of jobs or machines.
+///
+/// Invariant: `names_[id]` is the name of every assigned id, and `free_` holds all other ids below
+/// `names_.size()`.
 class IdInterner {
  public:
-  /// The id of this name, a new one if it has none.
+  /// Returns the id of this name, and assigns one if it has none.
   DenseId assign(const std::string& name);
-  /// nullopt if the name has none.
+  /// Returns nullopt if the name has no id.
   std::optional<DenseId> find(const std::string& name) const;
-  /// `id` must be taken.
+  /// `id` must be assigned.
   const std::string& name_of(DenseId id) const { return names_[id]; }
-  /// Frees the id of this name, if it has one. Whoever keeps tables by id must have removed its
-  /// entry, for the next new name gets the id.
+  /// Releases the id of this name, if it has one. The caller must already have removed its entries
+  /// from all tables indexed by id, because the next new name reuses the id.
   void release(const std::string& name);
   /// Number of names that have an id.
   std::size_t size() const { return ids_.size(); }
-  /// All ids that were ever assigned are below this.
+  /// All ids ever assigned are below this value.
   std::size_t id_limit() const { return names_.size(); }
 
  private:
--- a/src/ids/strong_number.hpp
+++ b/src/ids/strong_number.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Numbers that identify or order things of one kind and are not mixed up with those of another.
+// Type-safe numbers that identify or order things of one kind.
 #include <compare>
 #include <cstdint>
 
@@ -7,8 +7,8 @@
 #include <spdlog/fmt/fmt.h>
 
 namespace limemast::ids {
-/// A number of the given kind. Two kinds neither compare nor convert into each other. As JSON and
-/// in log lines it is the plain number.
+/// A number of the given kind. Numbers of different kinds do not compare with or convert to each
+/// other. In JSON and log messages it is a plain number.
 template <class Kind>
 class StrongNumber {
  public:
