--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -10,9 +10,9 @@
 constexpr auto kTimeout = 3s;
 constexpr auto kKeepAliveTimeout = 1500ms;
 constexpr auto kListTimeout = 5s;
-/// Share of the limits that is used: our clock and the store's do not agree on where a second
-/// begins.
-constexpr double kUsedShare = 0.9;
+/// Fraction of the store's rate limits that is used. The rest is a margin, because the store's
+/// one-second windows are not aligned with this clock.
+constexpr double kLimitUtilization = 0.9;
 }  // namespace
 
 Client::Client(net::Runtime& runtime, const wire::Settings& settings)
@@ -21,8 +21,8 @@
 }
 
 void Client::set_active_controllers(std::size_t controllers) {
-  const auto sharers = std::clamp<std::size_t>(controllers, 1, settings_.size);
-  const auto share = kUsedShare / static_cast<double>(sharers);
+  const auto active = std::clamp<std::size_t>(controllers, 1, settings_.size);
+  const auto share = kLimitUtilization / static_cast<double>(active);
   queue_.set_rates(settings_.state_rps * share, settings_.state_write_rps * share);
 }
 
--- a/src/store/decode_errors.hpp
+++ b/src/store/decode_errors.hpp
@@ -1,18 +1,18 @@
 #pragma once
-// Accounting of stored records and messages that could not be decoded.
+// Counts stored records and messages that could not be decoded.
 #include <cstdint>
 #include <set>
 #include <string>
 
 namespace limemast::store {
-/// Counts records and messages that could not be decoded, being of another build or edited by hand.
-/// None ends the process: whoever reads one takes the safe side and records it here. Each key is
-/// logged once.
+/// Counts records and messages that could not be decoded, for example because another build wrote
+/// them or somebody edited them by hand. A decode error never ends the process: the reader chooses
+/// the safe behaviour and records the error here. Each key is logged once.
 class DecodeErrors {
  public:
-  /// `key`: of the record, or the kind of the message.
+  /// `key` is the key of the record or the kind of the message.
   void record(const std::string& key);
-  /// All since the process started, also repeated ones.
+  /// Number of errors since the process started, including repeated ones.
   std::uint64_t count() const { return count_; }
 
  private:
--- a/src/store/protocol.cpp
+++ b/src/store/protocol.cpp
@@ -26,7 +26,7 @@
 constexpr const char* kEntriesField = "entries";
 constexpr const char* kTruncatedField = "truncated";
 constexpr const char* kChangesField = "news";
-// Status codes.
+// HTTP status codes.
 constexpr int kNoAnswer = 0;
 constexpr int kOk = 200;
 constexpr int kNoContent = 204;
@@ -36,13 +36,13 @@
 constexpr int kGone = 410;
 constexpr int kUnavailable = 503;
 
-/// The answer's body; a discarded value if it is not JSON.
+/// Parses the response body; returns a discarded value if it is not JSON.
 json parse(const net::HttpResult& result) { return json::parse(result.body, nullptr, false); }
 json parse_if_ok(const net::HttpResult& result) {
   return result.status == kOk ? parse(result) : json();
 }
 
-/// A field of an object that is an unsigned number.
+/// Returns an unsigned number field of an object, or nullopt.
 template <class Number>
 std::optional<Number> number_in(const json& object, const char* field) {
   if (!object.is_object()) return std::nullopt;
@@ -51,7 +51,7 @@
   return it->template get<Number>();
 }
 
-/// A field of an object that is a text; null if there is none.
+/// Returns a string field of an object, or nullptr.
 const std::string* string_field(const json& object, const char* field) {
   const auto it = object.find(field);
   return it == object.end() ? nullptr : it->get_ptr<const std::string*>();
@@ -101,7 +101,7 @@
   if (result.status != kOk && result.status != kNotFound) return out;
   const auto body = parse(result);
   if (result.status == kNotFound) {
-    // Only the store's own word counts: a stray 404 names no revision.
+    // A 404 is accepted only if it contains a revision, which shows that the store itself sent it.
     out.answered = body.is_object() && body.contains(kRevisionField);
     return out;
   }
--- a/src/store/request_queue.cpp
+++ b/src/store/request_queue.cpp
@@ -6,7 +6,7 @@
 
 namespace limemast::store {
 namespace {
-constexpr std::size_t kMaxQueue = 2000;  ///< waiting requests of one priority
+constexpr std::size_t kMaxQueuedPerPriority = 2000;
 
 constexpr std::size_t index_of(Priority priority) { return static_cast<std::size_t>(priority); }
 }  // namespace
@@ -23,7 +23,7 @@
 void RequestQueue::submit(Priority priority, net::HttpRequest request, net::Duration timeout,
                           Done done, double writes) {
   auto& queue = queues_.at(index_of(priority));
-  if (queue.size() >= kMaxQueue) {
+  if (queue.size() >= kMaxQueuedPerPriority) {
     runtime_.post([done = std::move(done)] { done({protocol::kTooManyRequests, false, {}}); });
     return;
   }
@@ -53,7 +53,7 @@
     const bool critical = p == index_of(Priority::Critical);
     while (!queue.empty() && (critical || admits(queue.front(), now, blocked)))
       send_front(queue, now);
-    // What is behind a waiting, more important queue waits as well.
+    // Less important queues must wait too, unless only the write rate blocks this one.
     if (!queue.empty() && !blocked.by_writes_only) break;
   }
   if (blocked.wait != net::Duration::max()) arm_timer(blocked.wait);
--- a/src/store/request_queue.hpp
+++ b/src/store/request_queue.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Paces the requests to the key-value store to the rates that it allows this controller.
+// Limits the requests to the key-value store to this controller's rates.
 #include <array>
 #include <deque>
 #include <functional>
@@ -9,24 +9,24 @@
 #include "store/requests.hpp"
 
 namespace limemast::store {
-/// Sends requests by priority, and within a priority in the order in which they came, no faster
-/// than two rates allow: one for requests, one for the keys that they write. Critical requests are
-/// sent at once and run up a debt that the others pay. Reads may pass writes that wait for the rate
-/// of writes alone.
+/// Sends requests by priority, and in FIFO order within a priority, at no more than two rates: one
+/// for requests and one for the keys that they write. Critical requests are sent immediately, and
+/// the other requests wait until the rates have recovered. Reads may overtake writes that wait only
+/// for the write rate.
 class RequestQueue {
  public:
   using Done = std::function<void(net::HttpResult)>;
   RequestQueue(net::Runtime& runtime, net::Endpoint endpoint);
 
-  /// Per second, and at once after a pause as many as in a second.
+  /// Sets the rates per second. The burst size is one second's worth.
   void set_rates(double requests, double writes);
-  /// `writes`: keys that the request writes. With too many waiting already, `done` is given the
-  /// answer for too many requests by a later turn of the event loop.
+  /// Queues a request that writes `writes` keys. If the queue of its priority is full, `done`
+  /// receives a "too many requests" response in a later event loop iteration.
   void submit(Priority priority, net::HttpRequest request, net::Duration timeout, Done done,
               double writes);
-  /// How long the requests that wait, of this and more important priorities, will take.
+  /// Estimated time to send the queued requests of this and more important priorities.
   net::Duration request_backlog(Priority least) const;
-  /// How long their writes will take.
+  /// Estimated time until the write rate admits the writes of those requests.
   net::Duration write_backlog(Priority least) const;
 
  private:
@@ -36,10 +36,10 @@
     Done done;
     double writes;
   };
-  /// What keeps the requests looked at so far from being sent.
+  /// Why the requests examined so far cannot be sent.
   struct Blocked {
-    net::Duration wait = net::Duration::max();  ///< until the first of them can be sent
-    bool by_writes_only = false;  ///< the last of them waits for the rate of writes alone
+    net::Duration wait = net::Duration::max();  ///< time until the first of them can be sent
+    bool by_writes_only = false;                ///< the last of them waits only for the write rate
   };
   using Queue = std::deque<Pending>;
 
--- a/src/store/requests.hpp
+++ b/src/store/requests.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// What is asked of the key-value store and what it answers, as the rest of the program sees it.
-// protocol.hpp translates to and from the wire.
+// Requests to and results from the key-value store, independent of the wire format. protocol.hpp
+// converts them to and from the wire format.
 #include <optional>
 #include <string>
 #include <vector>
@@ -11,69 +11,70 @@
 namespace limemast::store {
 using wire::json;
 
-/// Order in which waiting requests are sent, most important first. Critical ones (leases,
-/// elections, the watch) never wait for the rate limit.
+/// Order in which queued requests are sent, most important first. Critical requests (leases,
+/// elections, watches) are not rate limited.
 enum class Priority { Critical, UserWrite, Background, UserRead };
 inline constexpr std::size_t kPriorities = static_cast<std::size_t>(Priority::UserRead) + 1;
 
-/// Condition of a transaction: the key was last written at this revision (kAbsent: is not there).
+/// Transaction condition: the key was last written at this revision (kAbsent: the key does not
+/// exist).
 struct Compare {
   std::string key;
   Revision mod_revision{};
 };
-/// One put or delete of a transaction.
+/// A put or delete in a transaction.
 struct Operation {
   std::string key;
   std::optional<json> value;  ///< nullopt: delete the key
-  LeaseId lease{};            ///< the key goes when this lease ends; 0: it stays
+  LeaseId lease{};            ///< deletes the key when it ends; 0: no lease
 };
 
 enum class TxnStatus {
   Ok,
-  Conflict,  ///< a condition did not hold: nothing was written
-  Refused,   ///< not executed: outage, rate limit, or no such lease
-  Unknown    ///< no answer: it may have been applied, or may yet be
+  Conflict,  ///< a condition did not hold; nothing was written
+  Refused,   ///< not executed because of an outage, a rate limit or a missing lease
+  Unknown    ///< no response; the transaction may have been or may still be executed
 };
 struct TxnResult {
   TxnStatus status = TxnStatus::Unknown;
-  Revision revision{};              ///< at which it was applied
-  std::vector<std::string> failed;  ///< Conflict: the keys whose conditions did not hold
-  int http_status = 0;              ///< of the answer; 0: none came
+  Revision revision{};              ///< revision at which the transaction was executed
+  std::vector<std::string> failed;  ///< for Conflict: keys whose conditions did not hold
+  int http_status = 0;              ///< 0 without a response
 };
 
 struct GetResult {
-  bool answered = false;  ///< the store itself said what the key holds
+  bool answered = false;  ///< the store answered, so `found` is reliable
   bool found = false;
   json value;
   Revision mod_revision{};
-  LeaseId lease{};  ///< that the key is attached to; 0: none
+  LeaseId lease{};  ///< lease that the key is attached to; 0: none
 };
 
-/// Whether a lease that was to be renewed still exists.
+/// Result of a lease renewal.
 enum class KeepAliveStatus {
   Renewed,
-  Expired,     ///< the store knows no such lease any more
-  Unavailable  ///< no answer, or a refusal: the lease may have been renewed or not
+  Expired,     ///< the lease no longer exists
+  Unavailable  ///< no response or an error; the lease may or may not have been renewed
 };
 
-/// A key's value and the revision at which it was written.
+/// A key's value and the revision that wrote it.
 struct Entry {
   json value;
   Revision mod_revision{};
 };
 
-/// One page of a listing, in the order of the keys.
+/// One page of a listing, in key order.
 struct ListPage {
   struct Item {
     std::string key;
     Entry entry;
   };
   std::vector<Item> items;
-  Revision revision{};     ///< of the store when the page was read
-  bool truncated = false;  ///< more keys follow the last one
+  Revision revision{};     ///< store revision at which the page was read
+  bool truncated = false;  ///< more keys follow the last item
 };
 
-/// One write to a watched key.
+/// A write to a watched key.
 struct KeyChange {
   std::string key;
   Revision mod_revision{};
@@ -81,13 +82,13 @@
 };
 enum class ChangesStatus {
   Ok,
-  Compacted,   ///< the store's history no longer reaches back that far: list anew
-  Unavailable  ///< no answer, or one that cannot be read
+  Compacted,   ///< the store has discarded the requested history; the keys must be listed again
+  Unavailable  ///< no response, or one that cannot be decoded
 };
-/// The writes under a prefix since some revision.
+/// The writes under a prefix after some revision.
 struct ChangesResult {
   ChangesStatus status = ChangesStatus::Unavailable;
-  Revision revision{};  ///< all writes up to this one are in `changes`
+  Revision revision{};  ///< `changes` is complete up to this revision
   std::vector<KeyChange> changes;
 };
 }  // namespace limemast::store
--- a/src/store/revision.hpp
+++ b/src/store/revision.hpp
@@ -1,13 +1,13 @@
 #pragma once
-// Numbers of the key-value store.
+// Revision and lease numbers of the key-value store.
 #include "ids/strong_number.hpp"
 
 namespace limemast::store {
-/// Revision of the store: grows with every transaction that it carries out. A key's revision is
-/// that of the transaction that wrote it last; 0 where the key is not there.
+/// Store revision, which increases with every executed transaction. The revision of a key is that
+/// of the transaction that last wrote it, or 0 if the key does not exist.
 using Revision = ids::StrongNumber<struct RevisionKind>;
-/// In a condition: the key is not there.
+/// Condition value for a key that does not exist.
 inline constexpr Revision kAbsent{};
-/// A lease of the store. Keys attached to it go when it expires. 0: none.
+/// Id of a store lease. Keys attached to a lease are deleted when it expires. 0: no lease.
 using LeaseId = ids::StrongNumber<struct LeaseIdKind>;
 }  // namespace limemast::store
--- a/src/store/watch_cache.cpp
+++ b/src/store/watch_cache.cpp
@@ -6,16 +6,16 @@
 namespace limemast::store {
 namespace {
 using namespace std::chrono_literals;
-/// For how long a watch waits for changes. Each answer moves fresh_until(), which members' right to
-/// act depends on (Membership::may_act()), also where nothing has changed.
+/// Maximum wait of a watch request. Each response advances fresh_until(), even without changes, and
+/// Membership::may_act() depends on it.
 constexpr auto kWatchWait = 1s;
 constexpr auto kNoWait = 0s;
 constexpr auto kWatchTimeout = 8s;
 constexpr auto kListTimeout = 5s;
 constexpr auto kRefreshTimeout = 1500ms;
-constexpr auto kRetryPause = 300ms;
+constexpr auto kRetryDelay = 300ms;
 
-/// False if the entries are as new already.
+/// Applies a change. Returns false if it has no effect on the entries.
 bool apply(std::map<std::string, Entry>& entries, const KeyChange& change) {
   const auto it = entries.find(change.key);
   if (it != entries.end() && it->second.mod_revision >= change.mod_revision) return false;
@@ -56,7 +56,7 @@
 }
 
 void WatchCache::retry_listing() {
-  runtime_.after(kRetryPause, [this] { restart_listing(); });
+  runtime_.after(kRetryDelay, [this] { restart_listing(); });
 }
 
 void WatchCache::restart_listing() {
@@ -72,8 +72,8 @@
 }
 
 void WatchCache::on_list_page(ListPage page, bool first) {
-  // Changes are watched from the first page on: what changes while later pages are read is seen
-  // again.
+  // Later changes are read from the revision of the first page on, because later pages may be newer
+  // than it.
   if (first) listing_revision_ = page.revision;
   const auto last = page.items.empty() ? std::string() : page.items.back().key;
   for (auto& item : page.items) listing_[item.key] = std::move(item.entry);
@@ -91,7 +91,7 @@
 }
 
 void WatchCache::install_listing(Revision revision) {
-  // A refresh may have shown more meanwhile.
+  // A refresh may have advanced the cache beyond this listing.
   if (revision < revision_) return restart_listing();
   const auto changes = differences(entries_, listing_);
   entries_ = std::move(listing_);
@@ -113,7 +113,7 @@
 void WatchCache::on_watch_result(const ChangesResult& result, net::Time sent) {
   if (result.status == ChangesStatus::Compacted) return restart_listing();
   if (apply_changes(result, sent)) return watch();
-  runtime_.after(kRetryPause, [this] { watch(); });
+  runtime_.after(kRetryDelay, [this] { watch(); });
 }
 
 void WatchCache::refresh(std::function<void(bool)> done) {
@@ -125,13 +125,14 @@
 
 bool WatchCache::apply_changes(const ChangesResult& result, net::Time sent) {
   if (result.status != ChangesStatus::Ok) return false;
-  // One change for each key, of its final state: after a pause one answer may hold the creation and
-  // the deletion of a key.
+  // Reports one change per key with its final state, because one response may contain both the
+  // creation and the deletion of a key.
   std::vector<std::string> changed;
   std::set<std::string> seen;
   for (const auto& change : result.changes) {
-    // The answers to a watch and to a refresh may overlap, and come in any order. What the cache
-    // has passed already must not be applied: a key set and deleted meanwhile would stay for ever.
+    // Responses to watch and refresh requests may overlap and arrive in any order. A change at or
+    // below the current revision is skipped; otherwise a key that was set and then deleted could
+    // reappear permanently.
     if (change.mod_revision <= revision_) continue;
     if (apply(entries_, change) && seen.insert(change.key).second) changed.push_back(change.key);
   }
--- a/tests/store/watch_cache_test.cpp
+++ b/tests/store/watch_cache_test.cpp
@@ -9,7 +9,7 @@
 using namespace simulation;
 using namespace std::chrono_literals;
 
-/// A runtime in which nothing but the store answers, and which can be cut off from it.
+/// A runtime in which only the store responds, and whose connection to the store can be cut.
 class StoreOnlyRuntime final : public net::Runtime {
  public:
   StoreOnlyRuntime(SimulatedWorld& world, StateService& service)
@@ -41,8 +41,8 @@
   net::Duration busy() const override { return {}; }
   void send_peer(const std::string&, const wire::json&) override {}
   bool cut = false;
-  net::Duration watch_latency = kLatency;  ///< of answers to requests that wait for changes
-  net::Duration list_latency = kLatency;   ///< of answers to listings
+  net::Duration watch_latency = kLatency;  ///< latency of responses to watch requests
+  net::Duration list_latency = kLatency;   ///< latency of responses to list requests
   std::size_t requests = 0;
 
  private:
@@ -69,7 +69,7 @@
     watch_cache_ = std::make_unique<WatchCache>(runtime_, *client_, "w/");
     watch_cache_->start([this](const std::vector<Change>& changes) {
       for (const auto& c : changes) {
-        // The listener must be told what the cache shows: it looks the key up.
+        // The reported change must match the cache, because the listener looks up the key.
         EXPECT_EQ(c.removed, watch_cache_->find(c.key) == nullptr) << c.key;
         changes_.push_back(c);
       }
@@ -105,7 +105,7 @@
   EXPECT_EQ(watch_cache_->entries().size(), 1U);
 }
 
-// Guards against a crash: after a pause one answer holds the creation and the deletion of a key.
+// Guards against a crash when one response contains both the creation and the deletion of a key.
 TEST_F(WatchCacheTest, ReportsOneChangePerKeyAfterAPause) {
   run(1s);
 
@@ -127,9 +127,8 @@
   EXPECT_EQ(watch_cache_->find("w/back")->value, 2);
 }
 
-// Users' queries are answered from the cache: after a refresh it must be as new as a read of the
-// key would be.
-TEST_F(WatchCacheTest, RefreshShowsAllThatWasWrittenBefore) {
+// User queries are answered from the cache, so a refresh must make it as recent as a direct read.
+TEST_F(WatchCacheTest, RefreshShowsAllEarlierWrites) {
   run(1s);
   runtime_.watch_latency = 2s;
   service_.put("w/a", 1);
@@ -149,9 +148,9 @@
   EXPECT_EQ(fresh, false);
 }
 
-// The slow answer to a watch holds the put of a key that a refresh has shown as deleted since: the
-// key must not come back for ever.
-TEST_F(WatchCacheTest, OlderAnswerBringsNoDeletedKeyBack) {
+// A delayed watch response contains the put of a key whose deletion a refresh has already shown.
+// The key must not reappear.
+TEST_F(WatchCacheTest, OlderResponseDoesNotRestoreADeletedKey) {
   run(1s);
   runtime_.watch_latency = 2s;
   service_.put("w/a", 1);
@@ -165,9 +164,9 @@
   EXPECT_NE(watch_cache_->find("w/b"), nullptr);
 }
 
-// A burst of submissions waits for the rate of writes. Queries of users need none of it: they must
-// pass, and not slow the writes down.
-TEST_F(WatchCacheTest, ReadsPassWaitingWritesWithoutSlowingThem) {
+// Reads for user queries must overtake a burst of submissions that waits for the write rate,
+// without slowing down the writes.
+TEST_F(WatchCacheTest, ReadsOvertakeQueuedWritesWithoutSlowingThem) {
   run(1s);
 
   std::size_t written = 0, read = 0;
@@ -183,7 +182,7 @@
   EXPECT_EQ(read, 300U);
 }
 
-TEST_F(WatchCacheTest, ListsAnewWhenTheHistoryWasCompacted) {
+TEST_F(WatchCacheTest, ListsAgainAfterTheHistoryWasCompacted) {
   service_.put("w/old", 1);
   run(1s);
   runtime_.cut = true;
@@ -197,10 +196,10 @@
   EXPECT_EQ(watch_cache_->entries().size(), 50U);
 }
 
-// A listing is under way when a refresh shows a job that was accepted since: the listing is older,
-// and must not remove it. It did; the job was taken for ended, and its tasks were stopped.
-TEST_F(WatchCacheTest, OlderListingRemovesNothingNewer) {
-  run(300ms);  // the watch that is open by then stays so until a second is over
+// Guards against a listing that is older than a refresh removing a newly accepted job, whose tasks
+// were then stopped as if the job had ended.
+TEST_F(WatchCacheTest, OlderListingDoesNotRemoveNewerKeys) {
+  run(300ms);  // the open watch request ends after one second
   auto elsewhere = [&](int n) {
     for (int i = 0; i < n; ++i) service_.put("elsewhere", i);
   };
@@ -208,7 +207,7 @@
   watch_cache_->refresh([](bool ok) { EXPECT_TRUE(ok); });
   run(20ms);
   runtime_.list_latency = 1s;
-  elsewhere(15);  // the history no longer reaches the open watch, but what the refresh has read
+  elsewhere(15);  // the open watch request is now behind the history, the last refresh is not
   run(30ms);
   service_.put("w/accepted", 1);
   watch_cache_->refresh([](bool ok) { EXPECT_TRUE(ok); });
@@ -229,11 +228,11 @@
   EXPECT_NE(watch_cache_->find("w/later"), nullptr);
 }
 
-// Writes fall between the pages of a listing: a reader that sees a later one must see those before
-// it as well.
+// Writes occur between the pages of a listing. A reader that sees one of them must also see all
+// earlier ones.
 TEST_F(WatchCacheTest, ListingOfSeveralPagesShowsOneRevision) {
   for (int i = 0; i < 700; ++i) service_.put("w/" + std::to_string(1000 + i), 1);
-  run(12ms);  // the first page was read, the second is asked for
+  run(12ms);  // the first page was read and the second is requested
   ASSERT_FALSE(watch_cache_->synced());
 
   service_.put("w/1001", 2);
