--- a/src/failover/failover_barrier.cpp
+++ b/src/failover/failover_barrier.cpp
@@ -5,16 +5,19 @@
 namespace limemast::failover {
 namespace {
 using namespace std::chrono_literals;
-/// A living machine sends a heartbeat within an interval and a quarter, is refused, comes to
-/// another controller a second later, and is asked there at once to confirm the epoch.
-constexpr double kPatienceHeartbeats = 1.25;
-constexpr auto kPatience = 2500ms;
-/// While machines still confirm one after the other, none is terminated.
-constexpr double kQuietHeartbeats = 0.75;
-/// If more than this share of a zone is silent, the zone or its controller is partitioned, and its
-/// machines live on.
+/// Machines have this long to confirm a new epoch: 1.25 heartbeat intervals plus a margin. Within
+/// it a running machine sends a heartbeat, is refused, contacts another controller one second later
+/// and is asked to confirm the epoch.
+constexpr double kMinWaitHeartbeats = 1.25;
+constexpr auto kMinWaitMargin = 2500ms;
+/// No machine is terminated until this many heartbeat intervals have passed without a new
+/// confirmation.
+constexpr double kProgressTimeoutHeartbeats = 0.75;
+/// If more than this share of a zone's machines is silent, the zone or its controller is considered
+/// partitioned and its machines are assumed to be running.
 constexpr double kPartitionedZoneShare = 0.5;
-/// If more than this share of all machines is unconfirmed, it is this controller that is cut off.
+/// If more than this share of all machines is unconfirmed, this controller itself is considered
+/// isolated.
 constexpr double kMaxUnconfirmedShare = 0.4;
 
 using MachinesByZone = std::map<std::string, std::size_t>;
@@ -25,8 +28,8 @@
   return sum;
 }
 
-/// A machine that was removed under the previous leader is not registered: its zone is not known,
-/// and no partition excuses it.
+/// A machine deregistered under the previous leader has no known zone, so it never counts as
+/// partitioned.
 bool zone_is_partitioned(const std::string& zone, const MachinesByZone& silent,
                          const MachinesByZone& registered) {
   if (zone.empty()) return false;
@@ -38,34 +41,34 @@
 }
 }  // namespace
 
-void FailoverBarrier::note_progress(ids::EpochNumber epoch, std::size_t unconfirmed,
-                                    net::Time now) {
+void FailoverBarrier::record_progress(ids::EpochNumber epoch, std::size_t unconfirmed,
+                                      net::Time now) {
   if (epoch != epoch_) {
     epoch_ = epoch;
-    begun_ = last_progress_ = now;
+    started_at_ = last_progress_ = now;
     unconfirmed_ = unconfirmed;
   }
   if (unconfirmed < unconfirmed_) last_progress_ = now;
   unconfirmed_ = unconfirmed;
 }
 
-bool FailoverBarrier::still_settling(net::Time now) const {
+bool FailoverBarrier::waiting_for_confirmations(net::Time now) const {
   const auto interval = net::to_seconds(heartbeat_interval_);
-  return now - begun_ < net::to_duration(interval * kPatienceHeartbeats) + kPatience ||
-         now - last_progress_ < net::to_duration(interval * kQuietHeartbeats);
+  return now - started_at_ < net::to_duration(interval * kMinWaitHeartbeats) + kMinWaitMargin ||
+         now - last_progress_ < net::to_duration(interval * kProgressTimeoutHeartbeats);
 }
 
 std::vector<std::string> FailoverBarrier::machines_to_terminate(
     ids::EpochNumber epoch, const std::vector<UnconfirmedMachine>& unconfirmed,
     const std::map<std::string, std::size_t>& registered, net::Time now) {
-  note_progress(epoch, unconfirmed.size(), now);
-  if (still_settling(now)) return {};
+  record_progress(epoch, unconfirmed.size(), now);
+  if (waiting_for_confirmations(now)) return {};
   if (static_cast<double>(unconfirmed.size()) >
       kMaxUnconfirmedShare * static_cast<double>(total(registered)))
     return {};
 
-  const bool lease_expired =
-      now - begun_ > net::to_duration(net::to_seconds(worker_lease_) * wire::kClockDriftFactor);
+  const bool lease_expired = now - started_at_ > net::to_duration(net::to_seconds(worker_lease_) *
+                                                                  wire::kClockDriftFactor);
   const auto counts_as_silent = [&](const UnconfirmedMachine& machine) {
     return machine.silent || lease_expired;
   };
--- a/src/failover/failover_barrier.hpp
+++ b/src/failover/failover_barrier.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Which machines a failover stops waiting for.
+// Decides which unresponsive machines to terminate after a failover.
 #include <map>
 #include <string>
 #include <vector>
@@ -8,49 +8,50 @@
 #include "net/runtime.hpp"
 
 namespace limemast::failover {
-/// A machine that has not confirmed the new epoch's fencing token yet, so that what runs on it is
-/// not known.
+/// A machine that has not confirmed the new epoch's fencing token, so that its running tasks are
+/// unknown.
 struct UnconfirmedMachine {
   std::string machine;
-  std::string zone;     ///< "": not known
-  bool silent = false;  ///< no member has had a heartbeat of it for longer than it would take to
-                        ///< turn to another controller
+  std::string zone;     ///< empty if unknown
+  bool silent = false;  ///< no member received its heartbeats for longer than the machine needs to
+                        ///< switch to another controller
 };
 
-/// Decides which unresponsive machines to terminate after a failover. Jobs that were taken over are
-/// assigned only when every machine has confirmed the new epoch, and so shown what it runs, or is
-/// certain to be gone. A machine that died with its controller confirms nothing, and its silence
-/// proves nothing until its lease has expired; all that waits would stand still that long.
-/// Terminating it in the cloud is a proof at once.
+/// Decides which unresponsive machines to terminate after a failover. Tasks of jobs that were taken
+/// over are assigned only after every machine has confirmed the new epoch, which reveals its
+/// running tasks, or is certain to be gone. A machine that failed together with its controller
+/// never confirms, and its silence is conclusive only after its worker lease has expired.
+/// Terminating it in the cloud resolves its state without waiting for the lease.
 ///
-/// This may cost a machine that merely hangs its place. So only a few silent machines are
-/// terminated, while those of a zone of which most are silent, being partitioned or behind a
-/// controller that is, are waited for. A machine that is heard but has not confirmed for as long as
-/// its lease does not receive anything (one-way unreachable): what it ran when the epoch began has
-/// ended with its lease, and it counts as silent. Pure logic: the caller terminates the machines.
+/// This may terminate a machine that is only temporarily unresponsive, so it is limited to few
+/// machines: if most machines of a zone are silent, the zone or its controller is considered
+/// partitioned, and they are waited for. A machine whose heartbeats arrive but that does not
+/// confirm within its lease duration receives no messages (one-way partition). The tasks that it
+/// ran at the start of the epoch have ended with its lease, so it counts as silent. Performs no
+/// I/O; the caller terminates the machines.
 class FailoverBarrier {
  public:
-  /// `heartbeat_interval` and `worker_lease`: of the workers.
+  /// `heartbeat_interval` and `worker_lease` are those of the workers.
   FailoverBarrier(net::Duration heartbeat_interval, net::Duration worker_lease)
       : heartbeat_interval_(heartbeat_interval), worker_lease_(worker_lease) {}
 
-  /// To be called at short intervals while jobs wait for machines to confirm this epoch.
-  /// `registered`: number of machines by zone. Returns the machines to terminate now.
+  /// Returns the machines to terminate now. Must be called at short intervals while jobs wait for
+  /// machines to confirm this epoch. `registered` is the number of machines by zone.
   std::vector<std::string> machines_to_terminate(
       ids::EpochNumber epoch, const std::vector<UnconfirmedMachine>& unconfirmed,
       const std::map<std::string, std::size_t>& registered, net::Time now);
-  /// Nothing waits any more.
+  /// Clears the state when no job waits for confirmations.
   void reset() { epoch_ = {}; }
 
  private:
-  void note_progress(ids::EpochNumber epoch, std::size_t unconfirmed, net::Time now);
-  bool still_settling(net::Time now) const;
+  void record_progress(ids::EpochNumber epoch, std::size_t unconfirmed, net::Time now);
+  bool waiting_for_confirmations(net::Time now) const;
 
   net::Duration heartbeat_interval_;
   net::Duration worker_lease_;
   ids::EpochNumber epoch_{};
-  net::Time begun_{};          ///< when the epoch was first asked about
-  net::Time last_progress_{};  ///< when a machine last confirmed it
+  net::Time started_at_{};     ///< first call for this epoch
+  net::Time last_progress_{};  ///< last confirmation by a machine
   std::size_t unconfirmed_ = 0;
 };
 }  // namespace limemast::failover
--- a/tests/failover/failover_barrier_test.cpp
+++ b/tests/failover/failover_barrier_test.cpp
@@ -24,19 +24,20 @@
 std::vector<UnconfirmedMachine> silent_machines(std::size_t count, const std::string& zone) {
   return machines(count, zone, true);
 }
-/// Their heartbeats arrive, but they do not confirm the epoch.
+/// Machines whose heartbeats arrive, but that do not confirm the epoch.
 std::vector<UnconfirmedMachine> heard_machines(std::size_t count, const std::string& zone) {
   return machines(count, zone, false);
 }
 
 class FailoverBarrierTest : public testing::Test {
  protected:
-  /// How many machines are terminated at this moment.
+  /// Number of machines terminated at this time.
   std::size_t terminated(const std::vector<UnconfirmedMachine>& unconfirmed, net::Duration after,
                          ids::EpochNumber epoch = kEpoch) {
     return barrier_.machines_to_terminate(epoch, unconfirmed, registered(), kStart + after).size();
   }
-  /// How many are the first time that any are within a minute, asking each half second.
+  /// Calls the barrier every 500 ms for a minute and returns the first non-zero number of
+  /// terminated machines, or 0.
   std::size_t terminated_within_a_minute(const std::vector<UnconfirmedMachine>& unconfirmed) {
     for (int i = 0; i < 120; ++i)
       if (const auto count = terminated(unconfirmed, i * 500ms)) return count;
@@ -52,8 +53,8 @@
   EXPECT_EQ(terminated(dead, 9s), 20U);
 }
 
-// A machine that was removed before this leader's time was registered nowhere and had no zone, and
-// held up all others for half a minute.
+// Guards against waiting for the worker lease of a machine deregistered under the previous leader,
+// whose zone is unknown.
 TEST_F(FailoverBarrierTest, MachineOfUnknownZoneIsTerminated) {
   EXPECT_EQ(terminated_within_a_minute(silent_machines(1, "")), 1U);
 }
@@ -62,7 +63,7 @@
   EXPECT_EQ(terminated_within_a_minute(silent_machines(51, "a")), 0U);
 }
 
-TEST_F(FailoverBarrierTest, NothingIsTerminatedWhereNearlyHalfOfAllMachinesIsSilent) {
+TEST_F(FailoverBarrierTest, NothingIsTerminatedWhenNearlyHalfOfAllMachinesAreSilent) {
   auto silent = silent_machines(45, "a");
   for (const auto* zone : {"b", "c"})
     for (const auto& machine : silent_machines(45, zone)) silent.push_back(machine);
@@ -70,8 +71,8 @@
   EXPECT_EQ(terminated_within_a_minute(silent), 0U);
 }
 
-// A machine that receives nothing never confirms, however well it is heard: it is waited for until
-// its lease must have expired.
+// A machine that receives no messages never confirms, although its heartbeats arrive. It is
+// terminated only after its lease has expired.
 TEST_F(FailoverBarrierTest, OneWayUnreachableMachinesAreTerminatedAfterTheirLease) {
   const auto heard = heard_machines(20, "a");
   for (auto after = 0s; after <= kLease; after += 1s)
@@ -91,7 +92,7 @@
   EXPECT_EQ(terminated(silent_machines(10, "b"), 26s), 10U);
 }
 
-TEST_F(FailoverBarrierTest, NewEpochStartsTheWaitAnew) {
+TEST_F(FailoverBarrierTest, NewEpochRestartsTheWait) {
   const auto dead = silent_machines(3, "a");
   EXPECT_EQ(terminated(dead, 0s), 0U);
   EXPECT_EQ(terminated(dead, 11s, kNextEpoch), 0U);
--- a/tests/failover/large_deployment_test.cpp
+++ b/tests/failover/large_deployment_test.cpp
@@ -13,10 +13,9 @@
 using namespace simulation;
 using namespace std::chrono_literals;
 
-// A deployment of 1,200 machines, small enough for CI: all controllers are restarted while a third
-// of the machines dies. Everything that was taken over waited until the last of four hundred dead
-// machines had been silent for longer than a lease.
-TEST(LargeDeploymentTest, AllControllersRestartWhileAThirdOfTheMachinesDies) {
+// Restarts all controllers of a deployment of 1,200 machines while a third of the machines fails.
+// Guards against failover waiting until the worker leases of all failed machines have expired.
+TEST(LargeDeploymentTest, AllControllersRestartWhileAThirdOfTheMachinesFails) {
   spdlog::set_level(std::getenv("SIM_LOG") ? spdlog::level::info : spdlog::level::off);
   const auto begun = std::chrono::steady_clock::now();
   SimulatedWorld world(1);
@@ -44,7 +43,7 @@
   const auto at = world.now();
   while (replicas() < 1800 && world.now() - at < 150s) cluster.run(1s);
   const auto took = std::chrono::duration_cast<std::chrono::seconds>(world.now() - at);
-  EXPECT_LT(took, 40s);  // 24; 53 where a third of the machines was too many to be terminated
+  EXPECT_LT(took, 40s);
   EXPECT_TRUE(cluster.invariants().violations().empty())
       << cluster.invariants().violations().begin()->first << " "
       << cluster.invariants().violations().begin()->second;
--- a/tests/failover/member_eviction_test.cpp
+++ b/tests/failover/member_eviction_test.cpp
@@ -13,12 +13,12 @@
 using namespace std::chrono_literals;
 using Side = SimulatedCluster::Side;
 
-/// Three controllers with some machines, services and arrays, of which one or more fail.
+/// Three controllers with machines, services and array jobs, in which one or more controllers fail.
 class MemberEvictionTest : public testing::TestWithParam<std::uint64_t> {
  protected:
   static wire::Settings settings() {
     auto s = settings_for_tests();
-    s.cancel_timeout = wire::Seconds(40);  // a lease of 26 s: what is faster is an eviction
+    s.cancel_timeout = wire::Seconds(40);  // lease of 26 s: a faster removal is an eviction
     s.teams = {{"red", {100, 400, 0, 0}}, {"blue", {}}};
     s.tuning.idle_return = wire::Seconds(90);
     return s;
@@ -29,7 +29,7 @@
     cluster_.run(10s);
     for (int i = 0; i < 4; ++i) submit(true, 4, i % 2 ? "red" : "blue");
     submit(false, 40, "red", 20);
-    cluster_.run(60s);  // the array is complete by now: there is room
+    cluster_.run(60s);  // the array job has completed and freed capacity
   }
   void TearDown() override {
     EXPECT_TRUE(cluster_.invariants().violations().empty())
@@ -49,7 +49,8 @@
         newest = n->membership().epoch();
     return newest;
   }
-  /// By the newest epoch: a suspended leader takes itself for the leader for a while yet.
+  /// Reads the newest epoch, because a suspended leader still considers itself the leader for a
+  /// while.
   std::size_t leader_node() const {
     const auto label = epoch().leader.label();
     return static_cast<std::size_t>(label.back() - '0');
@@ -57,7 +58,8 @@
   cluster::ControllerId controller(std::size_t node) const {
     return cluster_.node(node)->membership().self();
   }
-  /// How long until `done`, in steps of 100 ms; `limit` if it is not within that.
+  /// Runs in steps of 100 ms until `done` returns true or `limit` has passed. Returns the elapsed
+  /// time.
   template <class Done>
   Duration until(Duration limit, Done done) {
     const auto begun = world_.now();
@@ -67,12 +69,12 @@
   Duration until_evicted(const cluster::ControllerId& controller, Duration limit) {
     return until(limit, [&] { return !epoch().members.contains(controller); });
   }
-  /// How long until a service that is submitted now runs.
+  /// Submits a service and returns the time until it runs.
   Duration until_placed(Duration limit) {
     const auto uid = submit(true, 1, "blue");
     return until(limit, [&] { return cluster_.running()[uid] == 1; });
   }
-  /// Suspicions, refutations and evictions of all controllers that are up, summed.
+  /// Sum of the eviction counts of all running controllers.
   cluster::MemberEviction::Counts counts() const {
     cluster::MemberEviction::Counts all;
     for (std::size_t i = 0; i < 3; ++i) {
@@ -90,7 +92,8 @@
   const auto& machine_statuses() const {
     return cluster_.node(leader_node())->registry().machine_statuses();
   }
-  /// How many of the machines that the leader knows are attached to another controller.
+  /// Number of machines known to the leader that are attached to another controller than the given
+  /// one.
   std::size_t attached_elsewhere(const cluster::ControllerId& controller) const {
     std::size_t count = 0;
     for (const auto& [name, status] : machine_statuses())
@@ -102,12 +105,12 @@
 };
 INSTANTIATE_TEST_SUITE_P(Seeds, MemberEvictionTest, testing::Range<std::uint64_t>(1, 6));
 
-// While a leader was suspended, no long task was placed until its lease ended, after 26 s here.
+// Guards against long tasks waiting for the lease of a suspended leader to expire.
 TEST_P(MemberEvictionTest, SuspendedLeaderIsReplacedInSeconds) {
   const auto leader = leader_node();
   const auto old = controller(leader);
 
-  // Within its next callback, whichever that is: placing, launching, renewing, answering.
+  // The freeze takes effect in the leader's next callback, whichever that is.
   cluster_.freeze(leader, 60s);
 
   EXPECT_LT(until_evicted(old, 30s), 8s);
@@ -118,16 +121,16 @@
   EXPECT_EQ(epoch().members.size(), 3U);
 }
 
-// It is heard by the others and hears the machines, but can commit nothing: its jobs neither ended
-// nor moved until its lease had expired.
-TEST_P(MemberEvictionTest, ControllerThatTheStoreRefusesIsReplaced) {
+// The controller exchanges heartbeats but cannot commit to the store. Guards against its jobs being
+// stuck until its lease expires.
+TEST_P(MemberEvictionTest, ControllerWithoutStoreAccessIsEvicted) {
   const auto node = (leader_node() + 1) % 3;
   const auto old = controller(node);
 
   cluster_.cut(node, Side::State, true, 60s);
 
   EXPECT_LT(until_evicted(old, 30s), 13s);
-  // Its machines are asked to confirm the new epoch, and turn to the others.
+  // Its machines are asked to confirm the new epoch and attach to other controllers.
   EXPECT_LT(until(30s, [&] { return attached_elsewhere(old) == machine_statuses().size(); }), 4s);
   cluster_.run(80s);
   EXPECT_EQ(cluster_.up_controllers(), 3U);
@@ -180,7 +183,7 @@
   EXPECT_GE(cluster_.invariants().starts(), starts);
 }
 
-TEST_P(MemberEvictionTest, TwoThatSuspectEachOtherBothStay) {
+TEST_P(MemberEvictionTest, ControllersThatSuspectEachOtherBothStayMembers) {
   const auto leader = leader_node();
   cluster_.cut(leader, Side::Peers, true, 20s);
   const auto before = epoch().members;
@@ -205,9 +208,9 @@
   EXPECT_EQ(cluster_.up_controllers(), 3U);
 }
 
-// All that was taken over stood still until each machine that died with the leader had been silent
-// for longer than a lease.
-TEST_P(MemberEvictionTest, MachinesThatDieWithTheLeaderHoldUpNothing) {
+// Guards against jobs that were taken over waiting for the worker leases of machines that failed
+// together with the leader.
+TEST_P(MemberEvictionTest, MachinesThatFailWithTheLeaderDoNotDelayFailover) {
   const auto uid = submit(false, 200, "red", 12);
   cluster_.run(8s);
 
@@ -225,8 +228,7 @@
             90s);
 }
 
-// The machines of a partitioned zone live on: they were terminated, all of them, moments before the
-// partition ended.
+// Guards against terminating the machines of a partitioned zone, which are still running.
 TEST_P(MemberEvictionTest, PartitionedZoneKeepsItsMachines) {
   const auto leader = leader_node();
   const auto zone = std::string(1, static_cast<char>('a' + leader));
