--- a/src/machines/registry.cpp
+++ b/src/machines/registry.cpp
@@ -225,7 +225,7 @@
 bool Registry::apply_long_task_map(LongTaskMap map) {
   if (!map.newer_than(long_task_map_)) return false;
   map.closed_to_short_jobs = ids_of(map.with_long_tasks);
-  ids_of(map.reserved_for_services).each([&](ids::DenseId id) {
+  ids_of(map.reserved_for_services).for_each([&](ids::DenseId id) {
     map.closed_to_short_jobs.insert(id);
   });
   map.in_short_partition = ids_of(map.short_partition);
--- a/src/store/protocol.cpp
+++ b/src/store/protocol.cpp
@@ -26,7 +26,7 @@
 constexpr const char* kEntriesField = "entries";
 constexpr const char* kTruncatedField = "truncated";
 constexpr const char* kChangesField = "news";
-// Status codes.
+// HTTP status codes.
 constexpr int kNoAnswer = 0;
 constexpr int kOk = 200;
 constexpr int kNoContent = 204;
@@ -36,13 +36,13 @@
 constexpr int kGone = 410;
 constexpr int kUnavailable = 503;
 
-/// The answer's body; a discarded value if it is not JSON.
+/// Parses the response body; returns a discarded value if it is not JSON.
 json parse(const net::HttpResult& result) { return json::parse(result.body, nullptr, false); }
 json parse_if_ok(const net::HttpResult& result) {
   return result.status == kOk ? parse(result) : json();
 }
 
-/// A field of an object that is an unsigned number.
+/// Returns an unsigned number field of an object, or nullopt.
 template <class Number>
 std::optional<Number> number_in(const json& object, const char* field) {
   if (!object.is_object()) return std::nullopt;
@@ -51,8 +51,8 @@
   return it->template get<Number>();
 }
 
-/// A field of an object that is a text; null if there is none.
-const std::string* text_in(const json& object, const char* field) {
+/// Returns a string field of an object, or nullptr.
+const std::string* string_field(const json& object, const char* field) {
   const auto it = object.find(field);
   return it == object.end() ? nullptr : it->get_ptr<const std::string*>();
 }
@@ -73,7 +73,7 @@
 
 std::optional<ListPage::Item> decode_item(const json& item) {
   if (!item.is_object()) return std::nullopt;
-  const auto* key = text_in(item, kKeyField);
+  const auto* key = string_field(item, kKeyField);
   const auto value = item.find(kValueField);
   const auto mod_revision = number_in<Revision>(item, kModRevisionField);
   if (!key || value == item.end() || !mod_revision) return std::nullopt;
@@ -83,9 +83,9 @@
 std::optional<KeyChange> decode_change(const json& change) {
   const auto mod_revision = number_in<Revision>(change, kModRevisionField);
   if (!mod_revision) return std::nullopt;
-  if (const auto* deleted = text_in(change, kDeleteField))
+  if (const auto* deleted = string_field(change, kDeleteField))
     return KeyChange{*deleted, *mod_revision, std::nullopt};
-  const auto* put = text_in(change, kPutField);
+  const auto* put = string_field(change, kPutField);
   const auto value = change.find(kValueField);
   if (!put || value == change.end()) return std::nullopt;
   return KeyChange{*put, *mod_revision, *value};
@@ -101,7 +101,7 @@
   if (result.status != kOk && result.status != kNotFound) return out;
   const auto body = parse(result);
   if (result.status == kNotFound) {
-    // Only the store's own word counts: a stray 404 names no revision.
+    // A 404 is accepted only if it contains a revision, which shows that the store itself sent it.
     out.answered = body.is_object() && body.contains(kRevisionField);
     return out;
   }
