--- a/src/cloud/capacity_planner.cpp
+++ b/src/cloud/capacity_planner.cpp
@@ -56,7 +56,8 @@
   for (const auto& [zone, cpus] : out.capacity.on_demand) total += cpus;
   // Adds spare capacity for new services and for the loss of a machine. It is spread over all zones
   // because zone constraints may exclude some of them.
-  if (total > 0) any_zone_cpus += total * jobs::kServiceSpare + input.largest_machine_cpus / 2;
+  if (total > 0)
+    any_zone_cpus += total * jobs::kServiceSpareFraction + input.largest_machine_cpus / 2;
   for (const auto& zone : input.zones)
     out.capacity.on_demand[zone] += any_zone_cpus / static_cast<double>(input.zones.size());
   return out;
--- a/src/jobs/long_task_scheduler.cpp
+++ b/src/jobs/long_task_scheduler.cpp
@@ -6,14 +6,15 @@
 namespace limemast::jobs {
 namespace {
 using namespace std::chrono_literals;
-/// Between runs while capacity changes, as it does all the time in a large fleet.
+/// Minimum interval between runs while capacity changes, as it does constantly in a large cluster.
 constexpr auto kRunInterval = 200ms;
-/// Between runs while nothing changes: backoffs end, and machines fall silent.
+/// Minimum interval between runs while no change is known. Runs are still needed, because backoffs
+/// expire and machines stop sending heartbeats.
 constexpr auto kIdleRunInterval = 500ms;
-/// A machine without a heartbeat for so many intervals gets no tasks.
+/// A machine that has sent no heartbeat for this many heartbeat intervals gets no tasks.
 constexpr double kMaxMissedHeartbeats = 2.5;
 
-/// All that decides which machines a task fits on, apart from where tasks of its own job run.
+/// Everything that decides which machines a task fits on, except where other tasks of its job run.
 struct TaskShape {
   bool spot = false;
   double cpus = 0;
@@ -81,7 +82,7 @@
   if (!run_is_due(now)) return;
   guarantees_.reset();
   const auto waiting = collect_waiting_jobs();
-  preemption_.end_backoffs(now);
+  preemption_.remove_expired_backoffs(now);
   if (waiting.empty()) return;
   if (pending_reasons_.on()) record_queue_positions(waiting);
   place(waiting, now);
@@ -89,7 +90,7 @@
 }
 
 bool LongTaskScheduler::run_is_due(net::Time now) {
-  // What found no room a moment ago waits a little for the next run; a job that is new does not.
+  // Tasks that found no room recently wait for the next interval; new jobs do not.
   const bool new_jobs = job_owner_.long_job_arrivals() != seen_arrivals_;
   const bool capacity_changed = job_owner_.capacity_changes() != seen_capacity_changes_;
   if (!new_jobs && now - last_run_ < (capacity_changed ? kRunInterval : kIdleRunInterval))
@@ -104,7 +105,7 @@
   std::vector<WaitingJob> out;
   for (const auto& [uid, job] : job_owner_.jobs()) {
     if (!job->record.is_long) continue;
-    if (job->alive() && job->pending() > 0 && job_owner_.may_assign(*job))
+    if (job->active() && job->pending() > 0 && job_owner_.may_assign(*job))
       out.push_back({scheduling_order(*job, settings_, registry_.underserved_classes(), guarantees_,
                                       runtime_.wall()),
                      job.get()});
@@ -130,7 +131,7 @@
                   [&](const auto& entry) { return settings_.yields(entry.job->record.spec); });
   const bool best_effort_runs = best_effort_task_runs();
   placement_.begin_run(best_effort_waits && short_task_capacity_.missing_cpus() > 0);
-  // What one task found no room for, the next of the same shape need not look for.
+  // If one task finds no room, other tasks of the same shape are not tried in this run.
   std::set<TaskShape> shapes_without_room;
   for (const auto& [order, job] : waiting) {
     const auto& spec = job->record.spec;
@@ -140,9 +141,9 @@
     }
     const TaskShape shape(spec);
     if (!shapes_without_room.contains(shape)) {
-      const auto fitting = placement_.fitting(*job, free);
-      if (fitting.empty()) shapes_without_room.insert(shape);
-      while (job->pending() > 0 && placement_.place_one(*job, fitting)) {
+      const auto with_room = placement_.slots_with_room(*job, free);
+      if (with_room.empty()) shapes_without_room.insert(shape);
+      while (job->pending() > 0 && placement_.place_one(*job, with_room)) {
       }
     }
     const bool may_preempt =
