--- a/src/cluster/member_eviction.cpp
+++ b/src/cluster/member_eviction.cpp
@@ -141,8 +141,8 @@
 
 void MemberEviction::send_heartbeat(net::Time now) {
   if (!membership_.may_act()) return;
-  heartbeat_this_tick_ = !heartbeat_this_tick_;
-  if (heartbeat_this_tick_)
+  heartbeat_this_check_ = !heartbeat_this_check_;
+  if (heartbeat_this_check_)
     message_bus_.broadcast(
         messages::MemberHeartbeat{membership_.lease_certain(), detector_.reachable_peers(now)});
 }
--- a/src/cluster/member_eviction.hpp
+++ b/src/cluster/member_eviction.hpp
@@ -84,6 +84,6 @@
   /// When this controller raised a suspicion that the watch cache does not show yet, by label.
   std::map<std::string, net::Time> raised_at_;
   Counts counts_;
-  bool heartbeat_this_tick_ = false;  ///< toggled at every tick
+  bool heartbeat_this_check_ = false;  ///< toggled at every check, so every second one sends
 };
 }  // namespace limemast::cluster
--- a/src/failure_detection/failure_detector.cpp
+++ b/src/failure_detection/failure_detector.cpp
@@ -61,11 +61,11 @@
 }
 
 void FailureDetector::tick(bool store_available, net::Time now) {
-  const auto since_last_tick = net::to_seconds(now - last_tick_);
+  const auto since_last_check = net::to_seconds(now - last_check_);
   const bool suspended =
-      last_tick_ != net::Time{} &&
-      since_last_tick > kSuspensionIntervals * net::to_seconds(heartbeat_interval_);
-  last_tick_ = now;
+      last_check_ != net::Time{} &&
+      since_last_check > kSuspensionIntervals * net::to_seconds(heartbeat_interval_);
+  last_check_ = now;
   if (suspended) {
     // Heartbeats received during the suspension are not processed yet, so the observed silence is
     // meaningless.
--- a/src/failure_detection/failure_detector.hpp
+++ b/src/failure_detection/failure_detector.hpp
@@ -68,7 +68,7 @@
   net::Duration heartbeat_interval_;
   std::map<ids::ControllerId, Peer> peers_;
   LocalHealth local_health_;
-  net::Time last_tick_{};
+  net::Time last_check_{};
   net::Time store_available_since_{};  ///< start of the current uninterrupted availability to this
                                        ///< controller
   bool store_available_ = false;
