--- a/src/diagnostics/pending_reason.cpp
+++ b/src/diagnostics/pending_reason.cpp
@@ -42,7 +42,7 @@
 const char* explain(PendingReason reason) {
   switch (reason) {
     case PendingReason::Placing:
-      return "its tasks are being assigned";
+      return "being handed out";
     case PendingReason::NoMachine:
       return "no machine of its types, zone and kind";
     case PendingReason::Booting:
@@ -50,21 +50,21 @@
     case PendingReason::Resources:
       return "machines it may use are full";
     case PendingReason::HigherRank:
-      return "machines are taken by work of higher rank";
+      return "behind work of higher rank";
     case PendingReason::ShortPartition:
       return "machines with room are kept for short jobs";
     case PendingReason::BesideLongTasks:
-      return "the only machines with room run long tasks, which short tasks avoid";
+      return "the only room is beside long tasks, which short ones shun";
     case PendingReason::TeamLimit:
       return "its team uses all that it may";
     case PendingReason::OthersGuarantee:
       return "room is left to teams with a guarantee";
     case PendingReason::ZoneRule:
-      return "its zone rule allows no zone with room";
+      return "its rule about zones allows none with room";
     case PendingReason::BackingOff:
-      return "waits before it is retried after failures";
+      return "pauses after failures";
     case PendingReason::FailoverBarrier:
-      return "waits until a lost controller's tasks are confirmed";
+      return "held until a lost controller's tasks are accounted for";
     case PendingReason::StoreUnavailable:
       return "the state service does not answer";
     case PendingReason::Draining:
