--- a/src/operator_api/metrics.cpp
+++ b/src/operator_api/metrics.cpp
@@ -11,13 +11,14 @@
 namespace limemast::operator_api {
 namespace {
 using namespace prometheus;
-const Histogram::BucketBoundaries kCallSeconds{0.002, 0.005, 0.01, 0.025, 0.05, 0.1,
-                                               0.25,  0.5,   1,    2.5,   5};
-const Histogram::BucketBoundaries kDelaySeconds{0.001, 0.002, 0.005, 0.01, 0.02, 0.05,
-                                                0.1,   0.2,   0.5,   1,    5};
-constexpr const char* kServices[] = {"state", "cloud", "worker", "other"};
-/// Statuses by their hundreds: a label for each would let others make as many series as they like.
-const char* class_of(int status) {
+const Histogram::BucketBoundaries kCallSecondsBuckets{0.002, 0.005, 0.01, 0.025, 0.05, 0.1,
+                                                      0.25,  0.5,   1,    2.5,   5};
+const Histogram::BucketBoundaries kLoopDelaySecondsBuckets{0.001, 0.002, 0.005, 0.01, 0.02, 0.05,
+                                                           0.1,   0.2,   0.5,   1,    5};
+constexpr const char* kServiceLabels[] = {"state", "cloud", "worker", "other"};
+/// The label of an HTTP status. Statuses are grouped, so that other services cannot create an
+/// unlimited number of time series.
+const char* status_class(int status) {
   if (status == 0) return "none";
   if (status == 429) return "429";
   return status < 300 ? "2xx" : status < 500 ? "4xx" : "5xx";
@@ -36,7 +37,7 @@
                          .Name("limemast_loop_delay_seconds")
                          .Help("How late timers fired")
                          .Register(registry)
-                         .Add({}, kDelaySeconds);
+                         .Add({}, kLoopDelaySecondsBuckets);
   Family<Counter>& requests = BuildCounter()
                                   .Name("limemast_operator_requests_total")
                                   .Help("Requests of operators, by answer")
@@ -71,15 +72,16 @@
 Metrics::~Metrics() = default;
 
 void Metrics::call(Service service, int status, net::Duration took) {
-  const auto* name = kServices[static_cast<int>(service)];
-  impl_->calls.Add({{"service", name}, {"answer", class_of(status)}}).Increment();
-  impl_->seconds.Add({{"service", name}}, kCallSeconds).Observe(net::to_seconds(took).count());
+  const auto* name = kServiceLabels[static_cast<int>(service)];
+  impl_->calls.Add({{"service", name}, {"answer", status_class(status)}}).Increment();
+  impl_->seconds.Add({{"service", name}}, kCallSecondsBuckets)
+      .Observe(net::to_seconds(took).count());
 }
 void Metrics::loop_delay(net::Duration late) {
   impl_->delay.Observe(std::max(0.0, net::to_seconds(late).count()));
 }
 void Metrics::operator_request(int status) {
-  impl_->requests.Add({{"answer", class_of(status)}}).Increment();
+  impl_->requests.Add({{"answer", status_class(status)}}).Increment();
 }
 void Metrics::lease_lost() { impl_->lost.Increment(); }
 
@@ -103,22 +105,22 @@
   }
   set("unreadable", static_cast<double>(g.decode_errors));
   if (g.served) {
-    auto tell = [&](const char* of, const std::string& name, const char* since,
-                    const diagnostics::WorkCounts& s) {
-      auto put = [&](const char* what, double value) {
+    auto set_served = [&](const char* of, const std::string& name, const char* since,
+                          const diagnostics::WorkCounts& s) {
+      auto set_gauge = [&](const char* what, double value) {
         impl_->served.Add({{"of", of}, {"name", name}, {"since", since}, {"what", what}})
             .Set(value);
       };
-      put("tasks_asked", s.requested), put("tasks_started", s.started), put("tasks_done", s.done),
-          put("tasks_in_time", s.done_in_time);
-      put("replica_seconds_asked", s.replica_seconds_requested),
-          put("replica_seconds_up", s.replica_seconds_running);
-      put("share", s.served_fraction().value_or(1));
+      set_gauge("tasks_asked", s.requested), set_gauge("tasks_started", s.started),
+          set_gauge("tasks_done", s.done), set_gauge("tasks_in_time", s.done_in_time);
+      set_gauge("replica_seconds_asked", s.replica_seconds_requested),
+          set_gauge("replica_seconds_up", s.replica_seconds_running);
+      set_gauge("share", s.served_fraction().value_or(1));
     };
     for (const auto& [of, all] :
          {std::pair("class", &g.served->classes()), std::pair("team", &g.served->teams())})
       for (const auto& [name, sums] : *all)
-        tell(of, name, "window", sums.window), tell(of, name, "start", sums.total);
+        set_served(of, name, "window", sums.window), set_served(of, name, "start", sums.total);
   }
   std::ostringstream out;
   TextSerializer().Serialize(out, impl_->registry.Collect());
@@ -131,7 +133,7 @@
   const auto service = to == state_   ? Service::State
                        : to == cloud_ ? Service::Cloud
                                       : Service::Worker;
-  // A watch is answered when something changes: its time says nothing of the service.
+  // A watch request is answered only when a key changes, so its duration is not a latency.
   const bool watch = service == Service::State && request.path.starts_with("/changes");
   inner_.http(
       to, std::move(request), timeout,
--- a/src/operator_api/metrics.hpp
+++ b/src/operator_api/metrics.hpp
@@ -6,24 +6,24 @@
 #include "ids/fencing.hpp"
 
 namespace limemast::operator_api {
-/// What the metrics tell of a node at the moment of asking.
+/// Values of the gauges, read when the metrics are requested.
 struct Gauges {
   bool leads = false;
   bool may_act = false;
   ids::EpochNumber epoch{};
   std::size_t members = 0;
-  double state_age_s = 0;  ///< since the last request that the state service granted
+  double state_age_s = 0;  ///< since the key-value store last renewed this controller's lease
   std::size_t machines = 0;
   std::size_t open_jobs = 0;
   std::size_t owned_jobs = 0;
   std::size_t drains = 0;
   diagnostics::PendingReasonTable::Sums waits{};
-  std::uint64_t decode_errors = 0;  ///< records and messages that could not be read
-  const diagnostics::SloAttainment* served = nullptr;  ///< the leader's; empty elsewhere
+  std::uint64_t decode_errors = 0;  ///< records and messages that could not be decoded
+  const diagnostics::SloAttainment* served = nullptr;  ///< filled on the leader, empty elsewhere
 };
 
-/// Metrics of the process, in the Prometheus text form. It outlives nodes, so that counters never
-/// go back.
+/// Metrics of the process in the Prometheus text format. They outlive controller incarnations, so
+/// that counters never decrease.
 class Metrics {
  public:
   Metrics();
@@ -33,7 +33,7 @@
   void loop_delay(net::Duration late);
   void operator_request(int status);
   void lease_lost();
-  /// The text form, `gauges` brought up to date first.
+  /// Updates the gauges and returns all metrics in the text format.
   std::string text(const Gauges& gauges);
 
  private:
@@ -41,7 +41,7 @@
   std::unique_ptr<Impl> impl_;
 };
 
-/// Passes everything on and measures calls to other services on the way.
+/// Forwards all calls to another runtime and records the status and duration of HTTP calls.
 class MeasuredRuntime final : public net::Runtime {
  public:
   MeasuredRuntime(net::Runtime& inner, Metrics& metrics, net::Endpoint state, net::Endpoint cloud)
--- a/src/operator_api/operator_api.cpp
+++ b/src/operator_api/operator_api.cpp
@@ -10,26 +10,27 @@
 namespace {
 using namespace std::chrono_literals;
 using wire::json;
-constexpr std::size_t kMaxWaiting = 32;
-constexpr std::size_t kMaxGatherings = 64;
-constexpr auto kStep = 5ms;    ///< between two requests
-constexpr auto kLate = 60ms;   ///< timers later than this: others need the loop
-constexpr auto kGivesUp = 2s;  ///< a request that waited for so long is turned away
-constexpr auto kLoopLook = 100ms;
-constexpr auto kTidyEvery = 10s;
-constexpr auto kLogEvery = 60s;
+constexpr std::size_t kMaxQueuedRequests = 32;
+constexpr std::size_t kMaxPendingQueries = 64;
+constexpr auto kRequestInterval = 5ms;  ///< between two requests
+constexpr auto kMaxLoopDelay = 60ms;  ///< while timers fire later than this, no request is handled
+constexpr auto kMaxQueueTime = 2s;    ///< requests that were queued for longer are refused
+constexpr auto kLoopDelayInterval = 100ms;
+constexpr auto kDrainCleanupInterval = 10s;
+constexpr auto kLogInterval = 60s;
 
-int hex(char c) {
+int hex_digit(char c) {
   return c >= '0' && c <= '9'   ? c - '0'
          : c >= 'a' && c <= 'f' ? c - 'a' + 10
          : c >= 'A' && c <= 'F' ? c - 'A' + 10
                                 : -1;
 }
-std::string unescape(const std::string& text) {
+std::string percent_decode(const std::string& text) {
   std::string out;
   for (std::size_t i = 0; i < text.size(); ++i) {
-    if (text[i] == '%' && i + 2 < text.size() && hex(text[i + 1]) >= 0 && hex(text[i + 2]) >= 0) {
-      out += static_cast<char>(hex(text[i + 1]) * 16 + hex(text[i + 2]));
+    if (text[i] == '%' && i + 2 < text.size() && hex_digit(text[i + 1]) >= 0 &&
+        hex_digit(text[i + 2]) >= 0) {
+      out += static_cast<char>(hex_digit(text[i + 1]) * 16 + hex_digit(text[i + 2]));
       i += 2;
     } else {
       out += text[i];
@@ -69,48 +70,49 @@
       slo_attainment_(slo_attainment),
       metrics_(metrics),
       history_(settings.operators.history_kept),
-      rate_(settings.operators.per_second, settings.operators.per_second) {
+      rate_limiter_(settings.operators.per_second, settings.operators.per_second) {
   if (!settings_.operators.enabled) return;
-  message_bus_.on<messages::OperatorQuery>([this](const cluster::ControllerId& from,
-                                                  const messages::OperatorQuery& query) {
-    message_bus_.send(from, messages::OperatorReply{query.id, part(query.what, query.arguments)});
-  });
+  message_bus_.on<messages::OperatorQuery>(
+      [this](const cluster::ControllerId& from, const messages::OperatorQuery& query) {
+        message_bus_.send(
+            from, messages::OperatorReply{query.id, local_part(query.what, query.arguments)});
+      });
   message_bus_.on<messages::OperatorReply>(
       [this](const cluster::ControllerId& from, const messages::OperatorReply& reply) {
-        auto it = gatherings_.find(reply.id);
-        if (it == gatherings_.end() || it->second.missing.erase(from) == 0) return;
+        auto it = pending_queries_.find(reply.id);
+        if (it == pending_queries_.end() || it->second.missing.erase(from) == 0) return;
         it->second.parts[from] = reply.part;
-        if (it->second.missing.empty()) finish(reply.id);
+        if (it->second.missing.empty()) complete_query(reply.id);
       });
 }
 
 void OperatorApi::start() {
   if (!settings_.operators.enabled) return;
-  watch_loop();
+  measure_loop_delay();
   sample();
-  tidy_drains();
-  runtime_.after(kLogEvery, [this] { log_waits(); });
-  if (settings_.operators.rehearse_per_s > 0) rehearse();
+  remove_obsolete_drains();
+  runtime_.after(kLogInterval, [this] { log_pending_reasons(); });
+  if (settings_.operators.rehearse_per_s > 0) query_itself();
 }
 
 void OperatorApi::on_job(const std::string& uid) {
-  if (settings_.operators.enabled) open_.insert(uid);
+  if (settings_.operators.enabled) open_jobs_.insert(uid);
 }
 
 void OperatorApi::on_job_ended(const std::string& uid) {
-  open_.erase(uid);
+  open_jobs_.erase(uid);
   pending_reasons_.clear(uid, runtime_.now());
   pending_reasons_.long_job_queue().erase(uid);
   pending_reasons_.short_job_queue().erase(uid);
 }
 
-/// How late the loop's timers are tells whether workers and users wait.
-void OperatorApi::watch_loop() {
-  const auto due = runtime_.now() + kLoopLook;
-  runtime_.after(kLoopLook, [this, due] {
-    late_ = runtime_.now() - due;
-    if (metrics_) metrics_->loop_delay(late_);
-    watch_loop();
+/// Measures how late the loop's timers fire, which shows whether workers and users have to wait.
+void OperatorApi::measure_loop_delay() {
+  const auto due = runtime_.now() + kLoopDelayInterval;
+  runtime_.after(kLoopDelayInterval, [this, due] {
+    loop_delay_ = runtime_.now() - due;
+    if (metrics_) metrics_->loop_delay(loop_delay_);
+    measure_loop_delay();
   });
 }
 
@@ -121,27 +123,29 @@
     if (metrics_) metrics_->operator_request(r.status);
     respond(std::move(r));
   };
-  if (waiting_.size() >= kMaxWaiting || !rate_.take(runtime_.now(), 1))
-    return counted(error(503, "too many requests of operators"));
-  waiting_.push_back({request, std::move(counted), runtime_.now()});
-  if (!std::exchange(pumping_, true)) runtime_.after(kStep, [this] { pump(); });
+  if (queue_.size() >= kMaxQueuedRequests || !rate_limiter_.take(runtime_.now(), 1))
+    return counted(error(503, "too many operator requests: retry later"));
+  queue_.push_back({request, std::move(counted), runtime_.now()});
+  if (!std::exchange(queue_scheduled_, true))
+    runtime_.after(kRequestInterval, [this] { process_queue(); });
 }
 
-void OperatorApi::pump() {
+void OperatorApi::process_queue() {
   const auto now = runtime_.now();
-  while (!waiting_.empty() && now - waiting_.front().since > kGivesUp) {
-    waiting_.front().respond(error(503, "busy"));
-    waiting_.pop_front();
+  while (!queue_.empty() && now - queue_.front().since > kMaxQueueTime) {
+    queue_.front().respond(error(503, "controller busy: the request waited too long, retry later"));
+    queue_.pop_front();
   }
-  if (!waiting_.empty() && late_ < kLate) {
-    auto next = std::move(waiting_.front());
-    waiting_.pop_front();
+  if (!queue_.empty() && loop_delay_ < kMaxLoopDelay) {
+    auto next = std::move(queue_.front());
+    queue_.pop_front();
     handle(next.request, std::move(next.respond));
   }
-  pumping_ = !waiting_.empty();
-  if (pumping_)
-    runtime_.after(late_ < kLate ? net::Duration(kStep) : net::Duration(kLoopLook),
-                   [this] { pump(); });
+  queue_scheduled_ = !queue_.empty();
+  if (queue_scheduled_)
+    runtime_.after(loop_delay_ < kMaxLoopDelay ? net::Duration(kRequestInterval)
+                                               : net::Duration(kLoopDelayInterval),
+                   [this] { process_queue(); });
 }
 
 void OperatorApi::handle(const net::HttpRequest& request, net::Responder respond) {
@@ -155,7 +159,7 @@
     const auto end = rest.find('&');
     const auto field = rest.substr(0, end);
     if (const auto is = field.find('='); is != std::string::npos)
-      query.fields[field.substr(0, is)] = unescape(field.substr(is + 1));
+      query.fields[field.substr(0, is)] = percent_decode(field.substr(is + 1));
     if (end == std::string::npos) break;
     rest = rest.substr(end);
   }
@@ -184,47 +188,49 @@
   respond(error(404, "unknown path"));
 }
 
-// ---- what other controllers know ----
+// ---- queries to other controllers ----
 
-std::map<cluster::ControllerId, json> OperatorApi::everybody() const {
+std::map<cluster::ControllerId, json> OperatorApi::all_members() const {
   std::map<cluster::ControllerId, json> out;
   for (const auto& controller : membership_.epoch().members) out[controller] = json();
   return out;
 }
 
-void OperatorApi::gather(const std::string& what, std::map<cluster::ControllerId, json> asked,
-                         std::function<void(Gathering&)> done) {
-  Gathering g;
+void OperatorApi::query_members(const std::string& what,
+                                std::map<cluster::ControllerId, json> asked,
+                                std::function<void(PendingQuery&)> done) {
+  PendingQuery g;
   g.what = what;
   g.done = std::move(done);
   const auto id = next_id_++;
-  const bool room = gatherings_.size() < kMaxGatherings;
+  const bool room = pending_queries_.size() < kMaxPendingQueries;
   for (const auto& [controller, args] : asked) {
     if (controller == membership_.self())
-      g.parts[controller] = part(what, args);
+      g.parts[controller] = local_part(what, args);
     else if (room && membership_.is_member(controller))
       g.missing.insert(controller);
   }
   const auto others = g.missing;
-  gatherings_.emplace(id, std::move(g));
-  if (others.empty()) return finish(id);
+  pending_queries_.emplace(id, std::move(g));
+  if (others.empty()) return complete_query(id);
   for (const auto& controller : others)
     message_bus_.send(controller, messages::OperatorQuery{id, what, asked.at(controller)});
-  runtime_.after(net::to_duration(settings_.operators.patience), [this, id] { finish(id); });
+  runtime_.after(net::to_duration(settings_.operators.patience),
+                 [this, id] { complete_query(id); });
 }
 
-void OperatorApi::finish(std::uint64_t id) {
-  auto node = gatherings_.extract(id);
+void OperatorApi::complete_query(std::uint64_t id) {
+  auto node = pending_queries_.extract(id);
   if (node.empty()) return;
   auto& g = node.mapped();
-  // Of jobs each question names others, so that an old answer serves no new one.
+  // Parts about jobs are not kept: each query asks for other jobs.
   if (g.what != "jobs")
-    for (const auto& [controller, told] : g.parts)
-      last_[{g.what, controller.label()}] = {told, runtime_.now()};
+    for (const auto& [controller, answer] : g.parts)
+      last_parts_[{g.what, controller.label()}] = {answer, runtime_.now()};
   g.done(g);
 }
 
-json OperatorApi::ages(const Gathering& g) const {
+json OperatorApi::part_ages(const PendingQuery& g) const {
   json out = json::array();
   auto add = [&](const std::string& label) {
     const auto member = membership_.member_with_label(label);
@@ -233,9 +239,9 @@
     if (!asked) return;
     json entry{{"controller", label}, {"answered", answered}};
     if (!answered) {
-      const auto it = last_.find({g.what, label});
+      const auto it = last_parts_.find({g.what, label});
       entry["why"] = member.empty() ? "not a member of the generation" : "did not answer in time";
-      entry["ageS"] = it == last_.end()
+      entry["ageS"] = it == last_parts_.end()
                           ? json()
                           : json(net::to_seconds(runtime_.now() - it->second.at).count());
     }
@@ -246,7 +252,7 @@
   return out;
 }
 
-json OperatorApi::part(const std::string& what, const json& asked) {
+json OperatorApi::local_part(const std::string& what, const json& asked) {
   if (what == "jobs") {
     json out = json::object();
     if (!asked.is_array()) return out;
@@ -263,19 +269,21 @@
   return {};
 }
 
-// ---- regular work ----
+// ---- periodic work ----
 
-/// One line a minute: what tasks of this controller's jobs have waited for since it started.
-void OperatorApi::log_waits() {
+/// Logs once a minute for what causes the tasks of this controller's jobs have waited since it
+/// started.
+void OperatorApi::log_pending_reasons() {
   std::string line;
   const auto& sums = pending_reasons_.sums();
   for (const auto cause : diagnostics::kAllPendingReasons)
     if (const auto& s = sums[static_cast<std::size_t>(cause)]; s.task_seconds >= 1)
-      line += fmt::format("{} {}: {:.0f} task seconds, {} now", line.empty() ? "" : ",",
+      line += fmt::format("{} {}: {:.0f} task seconds, {} tasks now", line.empty() ? "" : ",",
                           diagnostics::name_of(cause), s.task_seconds, s.tasks);
   if (!line.empty())
-    spdlog::info("waiting by cause:{}, epoch {}", line, membership_.epoch().number);
-  runtime_.after(kLogEvery, [this] { log_waits(); });
+    spdlog::info("pending time by cause since the start:{}, epoch {}", line,
+                 membership_.epoch().number);
+  runtime_.after(kLogInterval, [this] { log_pending_reasons(); });
 }
 
 void OperatorApi::sample() {
@@ -290,22 +298,22 @@
   runtime_.after(net::to_duration(settings_.operators.history_every), [this] { sample(); });
 }
 
-/// A machine that is gone is drained for good: the leader takes its record away.
-void OperatorApi::tidy_drains() {
+/// The leader deletes the drains of machines that have been removed.
+void OperatorApi::remove_obsolete_drains() {
   if (membership_.is_leader())
     for (const auto& [id, d] : drains_.all())
       if (d.kind == drains::Kind::Machine && registry_.removed(d.name))
         remove_drain(id, [](const net::HttpResponse&) {});
-  runtime_.after(kTidyEvery, [this] { tidy_drains(); });
+  runtime_.after(kDrainCleanupInterval, [this] { remove_obsolete_drains(); });
 }
 
-/// Asks itself as operators would, so that the bench can measure what being asked costs.
-void OperatorApi::rehearse() {
+/// Sends requests to itself, so that the benchmark can measure the cost of operator requests.
+void OperatorApi::query_itself() {
   static constexpr const char* kPaths[] = {"jobs",   "machines", "teams",  "controllers",
                                            "drains", "history",  "metrics"};
-  serve({"GET", kPrefix + kPaths[rehearsed_++ % std::size(kPaths)], {}},
+  serve({"GET", kPrefix + kPaths[self_queries_++ % std::size(kPaths)], {}},
         [](const net::HttpResponse&) {});
   runtime_.after(net::to_duration(wire::Seconds(1 / settings_.operators.rehearse_per_s)),
-                 [this] { rehearse(); });
+                 [this] { query_itself(); });
 }
 }  // namespace limemast::operator_api
--- a/src/operator_api/operator_api.hpp
+++ b/src/operator_api/operator_api.hpp
@@ -9,12 +9,13 @@
 
 namespace limemast::operator_api {
 const std::string kPrefix = "/operator/v1/";
-/// What went wrong, as operators are told; 503 says when to come back.
+/// An error response for operators. Status 503 comes with a Retry-After of one second.
 net::HttpResponse error(int status, const std::string& what);
 
-/// The operators' interface. Any controller answers for all: what only others know it asks them,
-/// and says whose part is missing. Its requests wait in a line of their own, one is taken up at a
-/// time, and while the loop is late none is, so that workers and users come first.
+/// The operator API. Every controller answers for the whole deployment: it queries the other
+/// controllers for their parts and lists the parts that are missing. Requests are queued separately
+/// and handled one at a time. None is handled while the event loop is delayed, so that workers and
+/// users have priority.
 class OperatorApi {
  public:
   OperatorApi(net::Runtime& runtime, const wire::Settings& settings, store::Client& client,
@@ -28,12 +29,12 @@
   void start();
   void serve(const net::HttpRequest& request, net::Responder respond);
 
-  // What the mirror shows.
+  // Notices from the watch cache and from job owners.
   void on_job(const std::string& uid);
   void on_job_ended(const std::string& uid);
 
  private:
-  struct Waiting {
+  struct QueuedRequest {
     net::HttpRequest request;
     net::Responder respond;
     net::Time since{};
@@ -42,34 +43,36 @@
     std::string path;
     std::map<std::string, std::string> fields;
   };
-  /// What the members have told so far; `missing` have not.
-  struct Gathering {
+  /// A query to other controllers: the parts received so far, and the controllers whose part is
+  /// still missing.
+  struct PendingQuery {
     std::string what;
     std::map<cluster::ControllerId, wire::json> parts;
     std::set<cluster::ControllerId> missing;
-    std::function<void(Gathering&)> done;
+    std::function<void(PendingQuery&)> done;
   };
-  struct Told {
+  struct CachedPart {
     wire::json part;
     net::Time at{};
   };
 
-  void pump();
+  void process_queue();
   void handle(const net::HttpRequest& request, net::Responder respond);
-  void gather(const std::string& what, std::map<cluster::ControllerId, wire::json> asked,
-              std::function<void(Gathering&)> done);
-  void finish(std::uint64_t id);
-  wire::json part(const std::string& what, const wire::json& asked);
-  std::map<cluster::ControllerId, wire::json> everybody() const;
-  /// For each controller how old its part is, and whose is missing.
-  wire::json ages(const Gathering& g) const;
+  void query_members(const std::string& what, std::map<cluster::ControllerId, wire::json> asked,
+                     std::function<void(PendingQuery&)> done);
+  void complete_query(std::uint64_t id);
+  wire::json local_part(const std::string& what, const wire::json& asked);
+  std::map<cluster::ControllerId, wire::json> all_members() const;
+  /// For each queried controller, whether it answered and, if not, why and how old its last part
+  /// is.
+  wire::json part_ages(const PendingQuery& g) const;
 
   void jobs(const Query& query, net::Responder respond);
   void job(const std::string& uid, net::Responder respond);
   void answer_jobs(std::vector<std::string> uids,
-                   std::function<void(std::vector<wire::json>, wire::json ages)> done);
+                   std::function<void(std::vector<wire::json>, wire::json part_ages)> done);
   wire::json job_part(const std::string& uid) const;
-  wire::json merged_job(const std::string& uid, const wire::json* told, bool silent) const;
+  wire::json merged_job(const std::string& uid, const wire::json* reported, bool silent) const;
   void machines(const Query& query, net::Responder respond);
   void teams(net::Responder respond);
   void controllers(net::Responder respond);
@@ -83,10 +86,10 @@
   void metrics(net::Responder respond);
 
   void sample();
-  void log_waits();
-  void tidy_drains();
-  void rehearse();
-  void watch_loop();
+  void log_pending_reasons();
+  void remove_obsolete_drains();
+  void query_itself();
+  void measure_loop_delay();
 
   net::Runtime& runtime_;
   const wire::Settings& settings_;
@@ -104,14 +107,15 @@
   const diagnostics::SloAttainment& slo_attainment_;
   Metrics* metrics_;
   History history_;
-  net::TokenBucket rate_;
-  std::deque<Waiting> waiting_;
-  bool pumping_ = false;
-  std::map<std::uint64_t, Gathering> gatherings_;
+  net::TokenBucket rate_limiter_;
+  std::deque<QueuedRequest> queue_;
+  bool queue_scheduled_ = false;
+  std::map<std::uint64_t, PendingQuery> pending_queries_;
   std::uint64_t next_id_ = 1;
-  std::map<std::pair<std::string, std::string>, Told> last_;  ///< (what, label) -> the newest part
-  std::set<std::string> open_;  ///< open jobs, in the order of their names
-  net::Duration late_{};        ///< of the loop's timers, lately
-  std::uint64_t rehearsed_ = 0;
+  std::map<std::pair<std::string, std::string>, CachedPart>
+      last_parts_;                   ///< (query, controller label) -> latest part
+  std::set<std::string> open_jobs_;  ///< uids of open jobs
+  net::Duration loop_delay_{};       ///< lateness of the most recent timer of measure_loop_delay
+  std::uint64_t self_queries_ = 0;
 };
 }  // namespace limemast::operator_api
--- a/src/operator_api/views.cpp
+++ b/src/operator_api/views.cpp
@@ -1,4 +1,4 @@
-// What the operators' interface shows, each view by itself.
+// The views of the operator API.
 #include <algorithm>
 
 #include "operator_api/operator_api.hpp"
@@ -6,14 +6,14 @@
 namespace limemast::operator_api {
 namespace {
 using wire::json;
-constexpr std::size_t kMaxText = 120;  ///< of a name that users chose: no line may grow with it
+constexpr std::size_t kMaxText = 120;  ///< bytes of a name that users chose; longer names are cut
 
 std::string text_of(const json& j) {
   return j.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 net::HttpResponse ok(const json& body) { return {200, text_of(body) + "\n", 0, {}}; }
 
-/// One entry a line, so that no line outgrows what clients may take.
+/// Formats one entry per line, so that lines stay short enough for clients.
 net::HttpResponse listed(const char* name, const std::vector<json>& entries, json rest) {
   std::string out = "{\"" + std::string(name) + "\":[";
   for (std::size_t i = 0; i < entries.size(); ++i) out += (i ? ",\n" : "\n") + text_of(entries[i]);
@@ -26,7 +26,7 @@
   if (text.size() <= kMaxText) return text;
   auto end = kMaxText;
   while (end > 0 && (static_cast<unsigned char>(text[end]) & 0xC0) == 0x80)
-    --end;  // not within a character
+    --end;  // do not cut within a UTF-8 character
   return text.substr(0, end) + "...";
 }
 
@@ -35,17 +35,18 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(t.time_since_epoch()).count();
 }
 
-/// A whole number between 1 and `most`, or `most`; nullopt if the field is there and is none.
+/// The value of the field `limit`, at most `max`; `max` if there is no such field; nullopt if it is
+/// not a positive whole number.
 std::optional<std::size_t> limit_of(const std::map<std::string, std::string>& fields,
-                                    std::size_t most) {
+                                    std::size_t max) {
   const auto it = fields.find("limit");
-  if (it == fields.end()) return most;
+  if (it == fields.end()) return max;
   if (it->second.empty() || it->second.size() > 6 ||
       it->second.find_first_not_of("0123456789") != std::string::npos)
     return std::nullopt;
   const auto n = std::stoul(it->second);
   if (n == 0) return std::nullopt;
-  return std::min<std::size_t>(n, most);
+  return std::min<std::size_t>(n, max);
 }
 }  // namespace
 
@@ -78,7 +79,7 @@
   return out;
 }
 
-json OperatorApi::merged_job(const std::string& uid, const json* told, bool silent) const {
+json OperatorApi::merged_job(const std::string& uid, const json* reported, bool silent) const {
   const auto* open = job_directory_.find(uid);
   if (!open || open->ended) return {};
   const auto& s = open->spec;
@@ -94,11 +95,11 @@
            {"ramGb", s.ram_gb},
            {"ageS", std::max(0.0, seconds(runtime_.wall() - open->submitted))},
            {"owner", job_directory_.owner_of(uid).label()}};
-  if (told && told->is_object()) {
-    out.update(*told);
+  if (reported && reported->is_object()) {
+    out.update(*reported);
     return out;
   }
-  // Nobody has told more: what the owner said last stands, and why there is no newer word.
+  // The owner sent no part: use what it last published, and give the reason as the cause.
   const auto running = registry_.running_tasks(uid);
   const auto left = open->pending_tasks.value_or(s.tasks - std::min(s.tasks, running));
   out.update({{"waiting", left}, {"running", running}, {"starting", nullptr}, {"done", nullptr}});
@@ -109,47 +110,49 @@
 }
 
 void OperatorApi::answer_jobs(std::vector<std::string> uids,
-                              std::function<void(std::vector<json>, json ages)> done) {
+                              std::function<void(std::vector<json>, json part_ages)> done) {
   std::map<cluster::ControllerId, json> asked;
   for (const auto& uid : uids)
     asked.try_emplace(job_directory_.owner_of(uid), json::array()).first->second.push_back(uid);
-  gather("jobs", std::move(asked),
-         [this, uids = std::move(uids), done = std::move(done)](Gathering& g) {
-           std::vector<json> out;
-           for (const auto& uid : uids) {
-             const auto owner = g.parts.find(job_directory_.owner_of(uid));
-             const json* told = nullptr;
-             if (owner != g.parts.end())
-               if (auto it = owner->second.find(uid); it != owner->second.end()) told = &*it;
-             if (auto entry = merged_job(uid, told, owner == g.parts.end()); !entry.is_null())
-               out.push_back(std::move(entry));
-           }
-           done(std::move(out), ages(g));
-         });
+  query_members("jobs", std::move(asked),
+                [this, uids = std::move(uids), done = std::move(done)](PendingQuery& g) {
+                  std::vector<json> out;
+                  for (const auto& uid : uids) {
+                    const auto owner = g.parts.find(job_directory_.owner_of(uid));
+                    const json* reported = nullptr;
+                    if (owner != g.parts.end())
+                      if (auto it = owner->second.find(uid); it != owner->second.end())
+                        reported = &*it;
+                    if (auto entry = merged_job(uid, reported, owner == g.parts.end());
+                        !entry.is_null())
+                      out.push_back(std::move(entry));
+                  }
+                  done(std::move(out), part_ages(g));
+                });
 }
 
 void OperatorApi::jobs(const Query& query, net::Responder respond) {
   const auto limit = limit_of(query.fields, settings_.operators.page);
   if (!limit) return respond(error(400, "limit: must be a whole number above 0"));
   const auto from = query.fields.find("from");
-  auto it = from == query.fields.end() ? open_.begin() : open_.upper_bound(from->second);
+  auto it = from == query.fields.end() ? open_jobs_.begin() : open_jobs_.upper_bound(from->second);
   std::vector<std::string> uids;
-  for (; it != open_.end() && uids.size() < *limit; ++it) uids.push_back(*it);
-  json rest{{"next", it == open_.end() || uids.empty() ? json() : json(uids.back())},
-            {"open", open_.size()}};
+  for (; it != open_jobs_.end() && uids.size() < *limit; ++it) uids.push_back(*it);
+  json rest{{"next", it == open_jobs_.end() || uids.empty() ? json() : json(uids.back())},
+            {"open", open_jobs_.size()}};
   answer_jobs(std::move(uids), [this, respond, rest = std::move(rest)](std::vector<json> entries,
-                                                                       json ages) mutable {
-    rest["parts"] = std::move(ages);
+                                                                       json part_ages) mutable {
+    rest["parts"] = std::move(part_ages);
     rest["stateAgeS"] = seconds(runtime_.now() - membership_.last_lease_renewal());
     respond(listed("jobs", entries, rest));
   });
 }
 
 void OperatorApi::job(const std::string& uid, net::Responder respond) {
-  if (!open_.contains(uid)) return respond(error(404, "no such open job"));
-  answer_jobs({uid}, [respond](std::vector<json> entries, json ages) {
+  if (!open_jobs_.contains(uid)) return respond(error(404, "no such open job"));
+  answer_jobs({uid}, [respond](std::vector<json> entries, json part_ages) {
     if (entries.empty()) return respond(error(404, "no such open job"));
-    entries[0]["parts"] = std::move(ages);
+    entries[0]["parts"] = std::move(part_ages);
     if (const auto cause = entries[0].value("cause", ""); !cause.empty())
       for (const auto c : diagnostics::kAllPendingReasons)
         if (cause == diagnostics::name_of(c)) entries[0]["explained"] = diagnostics::explain(c);
@@ -232,27 +235,28 @@
       waits[diagnostics::name_of(cause)] = {
           {"jobs", s.jobs}, {"tasks", s.tasks}, {"waitedS", std::round(s.task_seconds)}};
   }
-  return {{"label", settings_.label},
-          {"zone", settings_.zone},
-          {"tag", membership_.self()},
-          {"leads", membership_.is_leader()},
-          {"entitled", membership_.may_act()},
-          {"generation", membership_.epoch().number},
-          {"stateAgeS", seconds(runtime_.now() - membership_.last_lease_renewal())},
-          {"ownedJobs", job_owner_.jobs().size()},
-          {"loopLateMs", std::chrono::duration_cast<std::chrono::milliseconds>(late_).count()},
-          {"waits", waits}};
+  return {
+      {"label", settings_.label},
+      {"zone", settings_.zone},
+      {"tag", membership_.self()},
+      {"leads", membership_.is_leader()},
+      {"entitled", membership_.may_act()},
+      {"generation", membership_.epoch().number},
+      {"stateAgeS", seconds(runtime_.now() - membership_.last_lease_renewal())},
+      {"ownedJobs", job_owner_.jobs().size()},
+      {"loopLateMs", std::chrono::duration_cast<std::chrono::milliseconds>(loop_delay_).count()},
+      {"waits", waits}};
 }
 
 void OperatorApi::controllers(net::Responder respond) {
-  gather("controllers", everybody(), [this, respond](Gathering& g) {
+  query_members("controllers", all_members(), [this, respond](PendingQuery& g) {
     std::vector<json> entries;
     auto add = [&](const std::string& label) {
       const auto controller = membership_.member_with_label(label);
       if (const auto it = g.parts.find(controller); it != g.parts.end())
         return entries.push_back(it->second);
       json entry{{"label", label}, {"silent", true}};
-      if (const auto it = last_.find({g.what, label}); it != last_.end()) {
+      if (const auto it = last_parts_.find({g.what, label}); it != last_parts_.end()) {
         entry = it->second.part;
         entry["silent"] = true;
         entry["ageS"] = seconds(runtime_.now() - it->second.at);
@@ -262,7 +266,7 @@
     add(settings_.label);
     for (const auto& [label, endpoint] : settings_.others) add(label);
     respond(listed("controllers", entries,
-                   {{"parts", ages(g)},
+                   {{"parts", part_ages(g)},
                     {"leader", membership_.epoch().leader.label()},
                     {"generation", membership_.epoch().number}}));
   });
@@ -284,8 +288,8 @@
 
 void OperatorApi::drains(net::Responder respond) {
   const auto leader = membership_.epoch().leader;
-  gather("drains", {{leader, json()}}, [this, respond, leader](Gathering& g) {
-    const auto told = g.parts.find(leader);
+  query_members("drains", {{leader, json()}}, [this, respond, leader](PendingQuery& g) {
+    const auto reported = g.parts.find(leader);
     std::vector<json> entries;
     for (const auto& [id, d] : drains_.all()) {
       json entry{{"id", id},
@@ -295,20 +299,22 @@
                  {"giveBack", d.terminate_when_empty},
                  {"ageS", std::max(0.0, seconds(runtime_.wall() - d.requested_at))}};
       const json* progress = nullptr;
-      if (told != g.parts.end()) {
-        if (const auto it = told->second.find(id); it != told->second.end()) progress = &*it;
-      } else if (const auto it = last_.find({g.what, leader.label()}); it != last_.end()) {
+      if (reported != g.parts.end()) {
+        if (const auto it = reported->second.find(id); it != reported->second.end())
+          progress = &*it;
+      } else if (const auto it = last_parts_.find({g.what, leader.label()});
+                 it != last_parts_.end()) {
         if (const auto p = it->second.part.find(id); p != it->second.part.end()) progress = &*p;
       }
       if (progress) {
         entry.update(*progress);
         entry["complete"] = progress->at("tasks") == 0;
       } else {
-        entry["complete"] = nullptr;  // the leader has not looked at it yet, or does not answer
+        entry["complete"] = nullptr;  // the leader has not evaluated it yet, or does not answer
       }
       entries.push_back(std::move(entry));
     }
-    respond(listed("drains", entries, {{"parts", ages(g)}}));
+    respond(listed("drains", entries, {{"parts", part_ages(g)}}));
   });
 }
 
@@ -339,20 +345,20 @@
     const auto& has = drains_.all().at(id);
     if (has.terminate_when_empty == d.terminate_when_empty)
       return respond(ok({{"id", id}, {"drained", true}}));
-    d.requested_at = has.requested_at;  // its patience runs from when it was first asked for
+    d.requested_at = has.requested_at;  // the patience counts from the first request
   }
   if (!old && drains_.all().size() >= drains::kMaxDrains)
-    return respond(error(409, "drains: too many at once"));
+    return respond(error(409, "drains: the maximum number of drains exists already"));
   if (!membership_.may_act()) return respond(error(503, "not entitled"));
-  client_.txn(
-      store::Priority::Background,
-      membership_.ownership_guards({{key, old ? old->mod_revision : store::kAbsent}}),
-      {{key, drains::to_json(d)}}, [respond, id](store::TxnResult r) {
-        if (r.status == store::TxnStatus::Ok)
-          return respond({201, json{{"id", id}, {"drained", true}}.dump() + "\n", 0, {}});
-        respond(error(503, r.status == store::TxnStatus::Conflict ? "changed meanwhile: try again"
-                                                                  : "state service"));
-      });
+  client_.txn(store::Priority::Background,
+              membership_.ownership_guards({{key, old ? old->mod_revision : store::kAbsent}}),
+              {{key, drains::to_json(d)}}, [respond, id](store::TxnResult r) {
+                if (r.status == store::TxnStatus::Ok)
+                  return respond({201, json{{"id", id}, {"drained", true}}.dump() + "\n", 0, {}});
+                respond(error(503, r.status == store::TxnStatus::Conflict
+                                       ? "the drain was changed concurrently: try again"
+                                       : "state service"));
+              });
 }
 
 void OperatorApi::remove_drain(const std::string& id, net::Responder respond) {
@@ -360,19 +366,21 @@
   const auto* old = watch_cache_.find(key);
   if (!old) return respond(error(404, "no such drain"));
   if (!membership_.may_act()) return respond(error(503, "not entitled"));
-  client_.txn(
-      store::Priority::Background, membership_.ownership_guards({{key, old->mod_revision}}),
-      {{key, std::nullopt}}, [respond, id](store::TxnResult r) {
-        if (r.status == store::TxnStatus::Ok) return respond(ok({{"id", id}, {"drained", false}}));
-        respond(error(503, r.status == store::TxnStatus::Conflict ? "changed meanwhile: try again"
-                                                                  : "state service"));
-      });
+  client_.txn(store::Priority::Background, membership_.ownership_guards({{key, old->mod_revision}}),
+              {{key, std::nullopt}}, [respond, id](store::TxnResult r) {
+                if (r.status == store::TxnStatus::Ok)
+                  return respond(ok({{"id", id}, {"drained", false}}));
+                respond(error(503, r.status == store::TxnStatus::Conflict
+                                       ? "the drain was changed concurrently: try again"
+                                       : "state service"));
+              });
 }
 
 // ---- history and metrics ----
 
 json OperatorApi::history_part() const {
-  // By position: time, ordinary, spot, coming, then waiting tasks by cause.
+  // Columns by position: time, ordinary, spot and provisioning machines, then pending tasks by
+  // cause.
   json out = json::array();
   for (const auto& s : history_.samples()) {
     json row{wall_ms(s.at), s.ordinary, s.spot, s.provisioning};
@@ -383,9 +391,9 @@
 }
 
 void OperatorApi::history(net::Responder respond) {
-  gather("history", everybody(), [this, respond](Gathering& g) {
-    // Samples of all controllers fall into the same steps of time; waiting adds up, machines are
-    // the same for all.
+  query_members("history", all_members(), [this, respond](PendingQuery& g) {
+    // Samples of all controllers are aligned to the same intervals. Pending tasks are summed;
+    // machine counts are cluster-wide, so their maximum is taken.
     const auto step =
         std::chrono::duration_cast<std::chrono::milliseconds>(settings_.operators.history_every)
             .count();
@@ -411,7 +419,7 @@
       for (const auto n : sum) row.push_back(n);
       entries.push_back(std::move(row));
     }
-    respond(listed("samples", entries, {{"columns", columns}, {"parts", ages(g)}}));
+    respond(listed("samples", entries, {{"columns", columns}, {"parts", part_ages(g)}}));
   });
 }
 
@@ -424,7 +432,7 @@
   g.members = membership_.epoch().members.size();
   g.state_age_s = seconds(runtime_.now() - membership_.last_lease_renewal());
   g.machines = registry_.machine_statuses().size();
-  g.open_jobs = open_.size();
+  g.open_jobs = open_jobs_.size();
   g.owned_jobs = job_owner_.jobs().size();
   g.drains = drains_.all().size();
   g.waits = pending_reasons_.sums();
--- a/tests/operator_api/console_cluster.hpp
+++ b/tests/operator_api/console_cluster.hpp
@@ -9,15 +9,15 @@
 
 namespace limemast {
 using simulation::violations;
-/// The operators' interface of one simulated controller: what the tools ask it takes simulated time
-/// to answer.
+/// Client of the operator API of one simulated controller. Each call runs the simulation until the
+/// answer arrives or the call times out.
 class SimApi final : public tools::Api {
  public:
   SimApi(simulation::SimulatedCluster& cluster, std::size_t node)
       : cluster_(cluster), node_(node) {}
   void call(const std::string& method, const std::string& path, const std::string& body,
             Done done) override {
-    // Shared: an answer may come after we have given up.
+    // Shared, because an answer may arrive after the call has timed out.
     auto out = std::make_shared<std::optional<net::HttpResponse>>();
     cluster_.ask(node_, {method, "/operator/v1/" + path, body},
                  [out](net::HttpResponse r) { *out = std::move(r); });
@@ -60,8 +60,8 @@
   s.teams = {{"red", {40, 0, 0, 0}}, {"blue", {0, 0, 0, 0}}};
   return s;
 }
-/// A scripted deployment with the operators' interface on, past the one job that comes by itself;
-/// no rule may break in it.
+/// A scripted deployment with the operator API enabled, after its one generated job has finished.
+/// At the end no invariant may be violated.
 class OperatedCluster : public testing::Test {
  protected:
   explicit OperatedCluster(std::uint64_t seed, wire::Settings settings = settings_with_operators())
--- a/tests/operator_api/drains_test.cpp
+++ b/tests/operator_api/drains_test.cpp
@@ -1,5 +1,5 @@
-// Drains in whole simulated deployments: nothing runs twice, services move where there is room, a
-// new leader goes on.
+// Drains in simulated deployments: no task runs twice, services move to machines with capacity, and
+// a new leader continues a drain.
 #include "operator_api/console_cluster.hpp"
 
 namespace limemast {
@@ -27,33 +27,34 @@
     }
     return false;
   }
-  std::size_t on_zone(const std::string& zone, std::size_t node) {
+  std::size_t tasks_in_zone(const std::string& zone, std::size_t node) {
     std::size_t n = 0;
     const auto machines = SimApi(cluster_, node).get("machines");
     for (const auto& m : machines.at("machines"))
       if (m.value("zone", "") == zone) n += m.value("tasks", 0u);
     return n;
   }
-  std::string fullest_zone() {
+  std::string zone_with_most_tasks() {
     std::string zone = "a";
     for (const char* other : {"b", "c"})
-      if (on_zone(other, 0) > on_zone(zone, 0)) zone = other;
+      if (tasks_in_zone(other, 0) > tasks_in_zone(zone, 0)) zone = other;
     return zone;
   }
 };
 
-TEST_F(DrainTest, ServicesLeaveAZoneOneReplicaAtATime) {
+TEST_F(DrainTest, ServicesLeaveTheZoneOneReplicaAtATime) {
   const auto s = service(6, 2);
   cluster_.submit(s);
   cluster_.run(60s);
   ASSERT_EQ(running(s.uid, 0), 6u);
-  const auto zone = fullest_zone();
-  ASSERT_GT(on_zone(zone, 0), 0u);
+  const auto zone = zone_with_most_tasks();
+  ASSERT_GT(tasks_in_zone(zone, 0), 0u);
   const auto id = "zone/" + zone;
   EXPECT_EQ(SimApi(cluster_, 1).send("PUT", "drains/" + id), 201);
   EXPECT_EQ(SimApi(cluster_, 2).send("PUT", "drains/" + id), 200)
-      << "asked for twice it is one drain";
-  // Never more than one replica is away; what a report has not shown yet counts as away too.
+      << "a second request does not create a second drain";
+  // At most one replica is down at a time. A replica that no heartbeat has reported yet counts as
+  // down.
   std::uint32_t least = 6;
   bool done = false;
   for (int i = 0; i < 400 && !done; ++i) {
@@ -64,23 +65,23 @@
   }
   EXPECT_TRUE(done) << drain(id, 0).dump();
   EXPECT_GE(least, 5u);
-  EXPECT_EQ(on_zone(zone, 0), 0u);
-  // Nothing new goes there until the drain ends.
+  EXPECT_EQ(tasks_in_zone(zone, 0), 0u);
+  // No new task starts there until the drain ends.
   const auto more = service(3, 2);
   cluster_.submit(more);
   cluster_.run(30s);
   EXPECT_EQ(running(more.uid, 0), 3u);
-  EXPECT_EQ(on_zone(zone, 0), 0u);
+  EXPECT_EQ(tasks_in_zone(zone, 0), 0u);
   EXPECT_EQ(SimApi(cluster_, 0).send("DELETE", "drains/" + id), 200);
   EXPECT_EQ(SimApi(cluster_, 0).send("DELETE", "drains/" + id), 404);
 }
 
-TEST_F(DrainTest, ANewLeaderGoesOnWithIt) {
+TEST_F(DrainTest, NewLeaderContinuesTheDrain) {
   const auto s = service(8, 2);
   cluster_.submit(s);
   cluster_.run(60s);
   ASSERT_EQ(running(s.uid, 0), 8u);
-  const auto zone = fullest_zone();
+  const auto zone = zone_with_most_tasks();
   const auto id = "zone/" + zone;
   const auto leader = cluster_.leader();
   const auto other = (leader + 1) % 3;
@@ -92,11 +93,11 @@
   EXPECT_EQ(running(s.uid, other), 8u);
 }
 
-TEST_F(DrainTest, WhatCannotBeCompletedSaysWhy) {
+TEST_F(DrainTest, IncompleteDrainReportsTheBlockingTasks) {
   auto bound = service(2, 2);
   bound.zone = "c";
   cluster_.submit(bound);
-  auto outside = service(1, 2);  // so that there are machines elsewhere
+  auto outside = service(1, 2);  // so that machines exist in another zone
   outside.zone = "b";
   cluster_.submit(outside);
   auto runs_on = service(1, 2);
@@ -118,10 +119,10 @@
   EXPECT_EQ(d.at("held").at("runs_on").at("tasks"), 1);
   EXPECT_EQ(d.at("held").at("runs_on").at("example"), runs_on.uid + "/0");
   EXPECT_EQ(d.at("held").value("zone_rule", json::object()).value("tasks", 0), 2) << d.dump();
-  EXPECT_EQ(running(bound.uid, 0), 2u) << "it runs on where it is";
+  EXPECT_EQ(running(bound.uid, 0), 2u) << "its tasks keep running where they are";
 }
 
-TEST_F(DrainTest, AMachineIsEmptiedAndGivenBack) {
+TEST_F(DrainTest, EmptiedMachineIsTerminated) {
   const auto s = service(4, 2);
   cluster_.submit(s);
   cluster_.run(60s);
@@ -142,10 +143,10 @@
   EXPECT_TRUE(gone);
   cluster_.run(30s);
   EXPECT_EQ(running(s.uid, 0), 4u);
-  EXPECT_TRUE(drain("machine/" + name, 0).is_null()) << "the leader takes the record away";
+  EXPECT_TRUE(drain("machine/" + name, 0).is_null()) << "the leader deletes the record";
 }
 
-TEST_F(DrainTest, BadRequestsAreNamed) {
+TEST_F(DrainTest, InvalidRequestsAreRejected) {
   SimApi api(cluster_, 0);
   EXPECT_EQ(api.send("PUT", "drains/zone/nowhere"), 404);
   EXPECT_EQ(api.send("PUT", "drains/machine/n-999999"), 404);
@@ -162,10 +163,10 @@
   EXPECT_EQ(api.send("GET", "nothing"), 404);
 }
 
-/// Random days with drains on top of all other troubles: the rules after each step, and in the end
-/// the work is done.
-class DrainedDay : public testing::TestWithParam<std::uint64_t> {};
-TEST_P(DrainedDay, RulesHoldAndWorkFinishes) {
+/// Random drains combined with random faults: the invariants hold after each step, and all jobs
+/// finish.
+class RandomDrains : public testing::TestWithParam<std::uint64_t> {};
+TEST_P(RandomDrains, InvariantsHoldAndJobsFinish) {
   spdlog::set_level(std::getenv("SIM_LOG") ? spdlog::level::debug : spdlog::level::off);
   SimulatedWorld world(GetParam());
   auto settings = settings_for_tests();
@@ -218,6 +219,6 @@
   EXPECT_TRUE(left.empty()) << left.size() << " left, first " << left.front() << ", seed "
                             << GetParam();
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, DrainedDay, testing::Range<std::uint64_t>(1, 11));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomDrains, testing::Range<std::uint64_t>(1, 11));
 }  // namespace
 }  // namespace limemast
--- a/tests/operator_api/report_test.cpp
+++ b/tests/operator_api/report_test.cpp
@@ -1,4 +1,4 @@
-// The report of a scripted state, each line of it against what the stand-ins themselves know.
+// Compares each line of the report with the state of the simulated services.
 #include "tools/report.hpp"
 
 #include <fstream>
@@ -19,8 +19,7 @@
   return s;
 }
 
-/// The rows of the table under a heading, cells by the names of their columns, read from the page
-/// itself.
+/// Parses the rows of the table under a heading of the page, as cells by column name.
 std::vector<Row> rows_of(const std::string& page, const std::string& heading) {
   const auto start = page.find("<h2>" + heading + "</h2>");
   EXPECT_NE(start, std::string::npos) << heading;
@@ -56,9 +55,9 @@
     missing_ = snapshot->missing;
     return tools::render_report(*snapshot, {});
   }
-  /// Every submitted job has one line, which says what was submitted and what runs of it on the
-  /// machines.
-  void match_jobs(const std::string& page) {
+  /// Expects one line per submitted job, with the submitted fields and the number of its tasks that
+  /// run on machines.
+  void expect_jobs_match(const std::string& page) {
     const auto rows = rows_of(page, "Jobs");
     EXPECT_EQ(rows.size(), submitted_.size());
     const auto running = cluster_.running();
@@ -93,7 +92,7 @@
   std::vector<std::string> missing_;
 };
 
-TEST_F(ReportTest, InTheMiddleOfADrain) {
+TEST_F(ReportTest, DuringADrain) {
   const auto bound = service(3, 2, "a");
   const auto free = service(4, 2);
   submit(bound);
@@ -103,12 +102,12 @@
       SimApi(cluster_, 0).send("PUT", "drains/zone/a", R"({"note":"<b>switch & \"rack\"</b>"})"),
       201);
   const auto late = service(1, 2, "a");
-  cluster_.run(40s);  // what can leave has left
+  cluster_.run(40s);  // all tasks that can move have moved
   submit(late);
   cluster_.run(5s);
   const auto text = page(1);
-  match_jobs(text);
-  // To look at it: LIMEMAST_REPORT names the file.
+  expect_jobs_match(text);
+  // The environment variable LIMEMAST_REPORT names a file to which the page is written.
   if (const char* file = std::getenv("LIMEMAST_REPORT")) {
     std::string why;
     const auto snapshot = SimApi(cluster_, 1).read();
@@ -122,11 +121,11 @@
   EXPECT_EQ(drains[0].at("tasks left"), "3");
   EXPECT_EQ(drains[0].at("state"), "under way");
   EXPECT_EQ(drains[0].at("note"), "<b>switch & \"rack\"</b>");
-  EXPECT_EQ(text.find("<b>"), std::string::npos) << "what users wrote is escaped";
+  EXPECT_EQ(text.find("<b>"), std::string::npos) << "texts of users are escaped";
   EXPECT_TRUE(missing_.empty());
 }
 
-TEST_F(ReportTest, MetricsTellTheSame) {
+TEST_F(ReportTest, MetricsMatchTheReport) {
   const auto late = service(1, 2, "a");
   submit(service(3, 2));
   cluster_.run(60s);
@@ -159,21 +158,22 @@
   EXPECT_GT(values.at("limemast_calls_total{answer=\"2xx\",service=\"cloud\"}"), 5);
   EXPECT_GT(values.at("limemast_loop_delay_seconds_count"), 100);
   EXPECT_GT(values.at("limemast_operator_requests_total{answer=\"2xx\"}"), 0);
-  // Series are bounded: causes, services and classes of answers, whatever users and clouds say.
+  // The number of time series is bounded whatever users and services send.
   EXPECT_LT(values.size(), 200u);
 }
 
-TEST_F(ReportTest, TooManyRequestsAreTurnedAwayAndOthersServed) {
+TEST_F(ReportTest, ExcessRequestsAreRefusedAndUsersServed) {
   int busy = 0, good = 0;
   for (int i = 0; i < 200; ++i)
     cluster_.ask(0, {"GET", "/operator/v1/jobs", {}}, [&](const net::HttpResponse& r) {
       busy += r.status == 503 && r.retry_after_s > 0;
       good += r.status == 200;
     });
-  int told = 0;
-  cluster_.ask(0, {"GET", "/submissions/wk-000000", {}}, [&](const net::HttpResponse&) { ++told; });
+  int user_answers = 0;
+  cluster_.ask(0, {"GET", "/submissions/wk-000000", {}},
+               [&](const net::HttpResponse&) { ++user_answers; });
   cluster_.run(3s);
-  EXPECT_EQ(told, 1);
+  EXPECT_EQ(user_answers, 1);
   EXPECT_EQ(busy, 200 - 32);
   EXPECT_EQ(good, 32);
 }
@@ -182,12 +182,12 @@
   constexpr std::size_t kJobs = 2'000;
   for (std::size_t i = 0; i < kJobs; ++i) {
     submit(job(10, 4, "", 5000));
-    if (i % 40 == 39) cluster_.run(1s);  // the state service takes so many a second
+    if (i % 40 == 39) cluster_.run(1s);  // the key-value store limits requests per second
   }
   cluster_.run(150s);
   const auto text = page(2);
-  match_jobs(text);
-  // Every job that waits has a place of its own, from the first to the last.
+  expect_jobs_match(text);
+  // The waiting jobs occupy the places from the first to the last, one each.
   const auto snapshot = SimApi(cluster_, 0).read();
   ASSERT_TRUE(snapshot);
   std::set<std::size_t> all;
@@ -203,7 +203,7 @@
   EXPECT_EQ(*all.rbegin(), waiting);
 }
 
-TEST_F(ReportTest, DuringATakeover) {
+TEST_F(ReportTest, DuringAFailover) {
   const auto s = service(5, 2);
   submit(s);
   cluster_.run(60s);
@@ -224,22 +224,22 @@
       missing_.end());
   cluster_.run(60s);
   text = page(other);
-  match_jobs(text);
+  expect_jobs_match(text);
   EXPECT_EQ(row_of(text, late.uid).at("running"), "1");
 }
 
-TEST_F(ReportTest, OneControllerCutOff) {
+TEST_F(ReportTest, WhileOneControllerIsUnreachable) {
   const auto s = service(5, 2);
   submit(s);
   cluster_.run(60s);
   const auto leader = cluster_.leader();
   const auto lost = (leader + 1) % 3;
   const auto here = (leader + 2) % 3;
-  (void)page(here);  // what it knew of the other before
+  (void)page(here);  // stores the last parts of the other controllers
   cluster_.cut(lost, SimulatedCluster::Side::Peers, false, 30s);
   cluster_.run(4s);
   const auto text = page(here);
-  match_jobs(text);
+  expect_jobs_match(text);
   const auto wanted =
       "node-" + std::to_string(lost) + " did not answer in time, what is shown of it is ";
   EXPECT_TRUE(std::any_of(missing_.begin(), missing_.end(), [&](const auto& m) {
