--- a/src/app/controller_instance.cpp
+++ b/src/app/controller_instance.cpp
@@ -8,18 +8,19 @@
 namespace {
 using namespace std::chrono_literals;
 using wire::json;
-constexpr auto kTick = 1s;
-constexpr auto kPlaceEvery = 100ms;
-constexpr auto kEndedKept = 600s;
-const std::string kSubmissions = "/submissions";
-const std::string kAbort = "/abort";
+constexpr auto kTickInterval = 1s;
+constexpr auto kPlacementInterval = 100ms;
+constexpr auto kEndedJobRetention = 600s;
+const std::string kSubmissionsPath = "/submissions";
+const std::string kAbortSuffix = "/abort";
 }  // namespace
 
 ControllerInstance::ControllerInstance(net::Runtime& runtime, const wire::Settings& settings,
-                                       std::function<void()> lost, operator_api::Metrics* metrics)
+                                       std::function<void()> on_lease_lost,
+                                       operator_api::Metrics* metrics)
     : runtime_(runtime),
       settings_(settings),
-      lost_(std::move(lost)),
+      on_lease_lost_(std::move(on_lease_lost)),
       client_(runtime, settings),
       watch_cache_(runtime, client_, cluster::keys::kWatched),
       membership_(runtime, settings, client_, watch_cache_),
@@ -34,10 +35,11 @@
           [this](const std::string& machine) { job_owner_.on_heartbeat(machine); }),
       completion_broadcast_(runtime, settings, membership_, message_bus_,
                             [this](const std::string& uid, const jobs::Status& end) {
-                              const bool news = job_directory_.mark_final(uid, runtime_.now());
+                              const bool first_notice =
+                                  job_directory_.mark_final(uid, runtime_.now());
                               status_reader_.cache_final_status(uid, end);
                               job_owner_.on_job_ended(uid, end.phase);
-                              if (news) on_end(uid);
+                              if (first_notice) on_job_ended(uid);
                             }),
       job_owner_(runtime, settings, client_, membership_, message_bus_, job_directory_, registry_,
                  pending_reasons_, capacity_diagnosis_, completion_broadcast_),
@@ -57,8 +59,8 @@
       operator_api_(runtime, settings, client_, watch_cache_, membership_, message_bus_,
                     job_directory_, registry_, job_owner_, pending_reasons_, capacity_diagnosis_,
                     drains_, drain_controller_, slo_monitor_.slo_attainment(), metrics) {
-  // Least remaining work first (paper, section 4.3): the line of short jobs, the same at every
-  // controller.
+  // The queue of short jobs is ordered by least remaining work (paper, section 4.3), so that every
+  // controller derives the same order.
   if (pending_reasons_.enabled())
     job_directory_.set_pending_tasks_listener([this](const cluster::ActiveJob& job) {
       if (job.is_long) return;
@@ -72,7 +74,7 @@
 }
 
 void ControllerInstance::start() {
-  membership_.start({[this] { on_epoch_changed(); }, lost_});
+  membership_.start({[this] { on_epoch_changed(); }, on_lease_lost_});
   watch_cache_.start([this](const std::vector<store::Change>& changes) { on_changes(changes); });
   autoscaler_.start(
       [this](auto machines) { worker_gateway_.adopt_machines_without_heartbeat(machines); });
@@ -80,8 +82,8 @@
   member_eviction_.start();
   admission_filter_.start();
   tick();
-  place();
-  send_map();
+  schedule();
+  send_long_task_map();
 }
 
 void ControllerInstance::on_changes(const std::vector<store::Change>& changes) {
@@ -91,7 +93,7 @@
     std::string name;
     if (cluster::keys::match_prefix(c.key, cluster::keys::kActiveJobs, name)) {
       if (c.removed) {
-        if (job_directory_.mark_ended(name, runtime_.now())) on_end(name);
+        if (job_directory_.mark_ended(name, runtime_.now())) on_job_ended(name);
         job_owner_.on_active_record_removed(name);
       } else {
         if (!job_directory_.upsert(name, *watch_cache_.find(c.key)))
@@ -100,17 +102,17 @@
         jobs.push_back(name);
       }
     } else if (cluster::keys::match_prefix(c.key, cluster::keys::kMachines, name)) {
-      // A record names machines; those that none names any more were given back.
-      auto named = c.removed ? std::optional(std::map<std::string, bool>())
-                             : cluster::read_machines(watch_cache_.find(c.key)->value);
-      if (!named) {
+      // A record lists registered machines. A machine that no record lists any more was terminated.
+      auto registrations = c.removed ? std::optional(std::map<std::string, bool>())
+                                     : cluster::read_machines(watch_cache_.find(c.key)->value);
+      if (!registrations) {
         client_.decode_errors().record(c.key);
         registry_.mark_record_unreadable(c.key, membership_.epoch().number);
         job_owner_.on_registrations_changed();
         continue;
       }
-      for (const auto& machine : registry_.apply_registration_record(c.key, std::move(*named),
-                                                                     membership_.epoch().number)) {
+      for (const auto& machine : registry_.apply_registration_record(
+               c.key, std::move(*registrations), membership_.epoch().number)) {
         worker_gateway_.on_machine_removed(machine);
         job_owner_.on_machine_removed(machine);
         registry_.remove(machine);
@@ -118,8 +120,8 @@
       job_owner_.on_registrations_changed();
     } else if (cluster::keys::match_prefix(c.key, cluster::keys::kDrains, name)) {
       drains_changed = true;
-      const bool good = c.removed || drains_.put(name, watch_cache_.find(c.key)->value);
-      if (!good) client_.decode_errors().record(c.key);
+      const bool valid = c.removed || drains_.put(name, watch_cache_.find(c.key)->value);
+      if (!valid) client_.decode_errors().record(c.key);
       if (c.removed) drains_.remove(name);
     } else if (c.key == cluster::keys::kCatalog && !c.removed) {
       if (!autoscaler_.load_types(watch_cache_.find(c.key)->value))
@@ -137,10 +139,10 @@
     job_owner_.take_ownership(jobs);
     scheduler_.run();
   }
-  look_ready();
+  log_when_ready();
 }
 
-void ControllerInstance::on_end(const std::string& uid) {
+void ControllerInstance::on_job_ended(const std::string& uid) {
   operator_api_.on_job_ended(uid);
   worker_gateway_.on_job_ended(uid);
 }
@@ -149,8 +151,8 @@
   return membership_.may_act() && !registry_.types().empty();
 }
 
-/// Says once how long each step of the start took, and that it is over.
-void ControllerInstance::look_ready() {
+/// Logs once, when the controller becomes ready, how long each phase of the startup took.
+void ControllerInstance::log_when_ready() {
   if (ready_since_ || !ready()) return;
   ready_since_ = runtime_.now();
   const auto& steps = membership_.startup_times();
@@ -163,7 +165,7 @@
             std::to_string(ms) + " ms";
   }
   spdlog::info(
-      "ready after {} ms: {}, epoch {}",
+      "controller ready after {} ms: {}, epoch {}",
       std::chrono::duration_cast<std::chrono::milliseconds>(runtime_.now() - steps[0]).count(),
       line, membership_.epoch().number);
 }
@@ -183,18 +185,18 @@
   job_owner_.tick();
   drain_controller_.tick();
   slo_monitor_.tick();
-  job_directory_.prune(runtime_.now() - kEndedKept);
-  runtime_.after(kTick, [this] { tick(); });
+  job_directory_.prune(runtime_.now() - kEndedJobRetention);
+  runtime_.after(kTickInterval, [this] { tick(); });
 }
 
-void ControllerInstance::place() {
+void ControllerInstance::schedule() {
   scheduler_.run();
-  runtime_.after(kPlaceEvery, [this] { place(); });
+  runtime_.after(kPlacementInterval, [this] { schedule(); });
 }
 
-void ControllerInstance::send_map() {
+void ControllerInstance::send_long_task_map() {
   scheduler_.send_map();
-  runtime_.after(net::to_duration(settings_.tuning.map_interval), [this] { send_map(); });
+  runtime_.after(net::to_duration(settings_.tuning.map_interval), [this] { send_long_task_map(); });
 }
 
 void ControllerInstance::serve(const net::HttpRequest& request, net::Responder respond) {
@@ -210,30 +212,34 @@
     return operator_api_.serve(request, std::move(respond));
   if (path == "/ready") {
     if (request.method != "GET") return not_allowed("GET");
-    // Refused by the state service while others are served, this controller can accept nothing:
-    // users go to those. In an outage for all it stays ready, as it takes seconds to count as
-    // healthy again.
-    const bool refused = !membership_.store_available() && worker_gateway_.any_peer_reaches_store();
-    const bool good = ready() && !refused;
-    return respond({good ? 200 : 503, good ? "{}" : R"({"error":"not ready"})", 0, {}});
+    // A controller that the key-value store refuses while it serves a peer can accept no jobs, so
+    // it is not ready and users are sent to its peers. In an outage for all controllers it stays
+    // ready, because it would take seconds to count as healthy again afterwards.
+    const bool store_refuses_only_us =
+        !membership_.store_available() && worker_gateway_.any_peer_reaches_store();
+    const bool can_serve_users = ready() && !store_refuses_only_us;
+    return respond(
+        {can_serve_users ? 200 : 503, can_serve_users ? "{}" : R"({"error":"not ready"})", 0, {}});
   }
-  if (path == kSubmissions) {
+  if (path == kSubmissionsPath) {
     if (request.method != "POST") return not_allowed("POST");
-    if (auto away = admission_filter_.rejection(overload::RequestClass::Submission))
-      return respond(std::move(*away));
+    if (auto rejection = admission_filter_.rejection(overload::RequestClass::Submission))
+      return respond(std::move(*rejection));
     return job_api_.submit(request.body, std::move(respond));
   }
-  if (path.compare(0, kSubmissions.size() + 1, kSubmissions + "/") == 0) {
-    auto rest = path.substr(kSubmissions.size() + 1);
-    if (rest.size() > kAbort.size() &&
-        rest.compare(rest.size() - kAbort.size(), kAbort.size(), kAbort) == 0) {
+  if (path.compare(0, kSubmissionsPath.size() + 1, kSubmissionsPath + "/") == 0) {
+    auto uid_and_action = path.substr(kSubmissionsPath.size() + 1);
+    if (uid_and_action.size() > kAbortSuffix.size() &&
+        uid_and_action.compare(uid_and_action.size() - kAbortSuffix.size(), kAbortSuffix.size(),
+                               kAbortSuffix) == 0) {
       if (request.method != "POST") return not_allowed("POST");
-      return job_api_.abort(rest.substr(0, rest.size() - kAbort.size()), std::move(respond));
+      return job_api_.abort(uid_and_action.substr(0, uid_and_action.size() - kAbortSuffix.size()),
+                            std::move(respond));
     }
     if (request.method != "GET") return not_allowed("GET");
-    if (auto away = admission_filter_.rejection(overload::RequestClass::StatusQuery))
-      return respond(std::move(*away));
-    return job_api_.query(rest, std::move(respond));
+    if (auto rejection = admission_filter_.rejection(overload::RequestClass::StatusQuery))
+      return respond(std::move(*rejection));
+    return job_api_.query(uid_and_action, std::move(respond));
   }
   respond({404, R"({"error":"unknown path"})", 0, {}});
 }
--- a/src/app/controller_instance.hpp
+++ b/src/app/controller_instance.hpp
@@ -8,20 +8,20 @@
 #include "overload/admission_filter.hpp"
 
 namespace limemast::app {
-/// One run of a controller: all actors, wired. It is thrown away and made anew when its grant has
-/// ended.
+/// One incarnation of a controller with all its components. ControllerSupervisor destroys it and
+/// creates a new one when its lease is lost.
 class ControllerInstance {
  public:
-  /// `lost` is called when the grant has ended; the node must then not be used any more.
-  /// `meter` may be null: nothing is measured then.
+  /// `on_lease_lost` is called when the lease is lost; this object must not be used after that.
+  /// `metrics` is null if the operator API is disabled; no metrics are collected then.
   ControllerInstance(net::Runtime& runtime, const wire::Settings& settings,
-                     std::function<void()> lost, operator_api::Metrics* metrics = nullptr);
+                     std::function<void()> on_lease_lost, operator_api::Metrics* metrics = nullptr);
   void start();
   void serve(const net::HttpRequest& request, net::Responder respond);
   void from_peer(const wire::json& message) { message_bus_.receive(message); }
-  /// Users can be answered.
+  /// Whether the controller may act and knows the machine types, so that it can serve users.
   bool ready() const;
-  /// When that was so for the first time.
+  /// When `ready` was first true; nullopt before that.
   std::optional<net::Time> ready_since() const { return ready_since_; }
   const cluster::Membership& membership() const { return membership_; }
   const cluster::MemberEviction& member_eviction() const { return member_eviction_; }
@@ -34,17 +34,17 @@
  private:
   void on_changes(const std::vector<store::Change>& changes);
   void on_epoch_changed();
-  /// The job's end stands in the state service: by the watch, or by word of a controller, which may
-  /// come long before.
-  void on_end(const std::string& uid);
-  void look_ready();
+  /// The job's final status is stored. The notice comes from the watch or from another controller's
+  /// broadcast, which may arrive much earlier.
+  void on_job_ended(const std::string& uid);
+  void log_when_ready();
   void tick();
-  void place();
-  void send_map();
+  void schedule();
+  void send_long_task_map();
 
   net::Runtime& runtime_;
   const wire::Settings& settings_;
-  std::function<void()> lost_;
+  std::function<void()> on_lease_lost_;
   std::optional<net::Time> ready_since_;
   store::Client client_;
   store::WatchCache watch_cache_;
--- a/src/app/controller_supervisor.hpp
+++ b/src/app/controller_supervisor.hpp
@@ -3,47 +3,48 @@
 #include "app/scoped_runtime.hpp"
 
 namespace limemast::app {
-/// Keeps a node running: when its grant has ended, a new one starts from nothing, as after a crash.
+/// Keeps a controller running: when its lease is lost, it is replaced by a new incarnation
+/// without state, as after a crash.
 class ControllerSupervisor {
  public:
   ControllerSupervisor(net::Runtime& runtime, const wire::Settings& settings)
       : settings_(settings),
         metrics_(settings.operators.enabled ? std::make_unique<operator_api::Metrics>() : nullptr),
-        measured_(metrics_ ? std::make_unique<operator_api::MeasuredRuntime>(
-                                 runtime, *metrics_, settings.state, settings.cloud)
-                           : nullptr),
-        runtime_(measured_ ? *measured_ : runtime) {
-    renew();
+        measured_runtime_(metrics_ ? std::make_unique<operator_api::MeasuredRuntime>(
+                                         runtime, *metrics_, settings.state, settings.cloud)
+                                   : nullptr),
+        runtime_(measured_runtime_ ? *measured_runtime_ : runtime) {
+    restart();
   }
 
   void serve(const net::HttpRequest& request, net::Responder respond) {
-    run_->node.serve(request, std::move(respond));
+    incarnation_->node.serve(request, std::move(respond));
   }
-  void from_peer(const wire::json& message) { run_->node.from_peer(message); }
-  const ControllerInstance& node() const { return run_->node; }
+  void from_peer(const wire::json& message) { incarnation_->node.from_peer(message); }
+  const ControllerInstance& node() const { return incarnation_->node; }
 
  private:
-  struct Run {
-    ScopedRuntime scope;
+  struct Incarnation {
+    ScopedRuntime runtime;
     ControllerInstance node;
-    Run(net::Runtime& runtime, const wire::Settings& settings, std::function<void()> lost,
-        operator_api::Metrics* metrics)
-        : scope(runtime), node(scope, settings, std::move(lost), metrics) {}
+    Incarnation(net::Runtime& inner, const wire::Settings& settings,
+                std::function<void()> on_lease_lost, operator_api::Metrics* metrics)
+        : runtime(inner), node(runtime, settings, std::move(on_lease_lost), metrics) {}
   };
-  void renew() {
-    run_ = std::make_unique<Run>(
+  void restart() {
+    incarnation_ = std::make_unique<Incarnation>(
         runtime_, settings_,
         [this] {
           if (metrics_) metrics_->lease_lost();
-          runtime_.post([this] { renew(); });
+          runtime_.post([this] { restart(); });
         },
         metrics_.get());
-    run_->node.start();
+    incarnation_->node.start();
   }
   const wire::Settings& settings_;
   std::unique_ptr<operator_api::Metrics> metrics_;
-  std::unique_ptr<operator_api::MeasuredRuntime> measured_;
+  std::unique_ptr<operator_api::MeasuredRuntime> measured_runtime_;
   net::Runtime& runtime_;
-  std::unique_ptr<Run> run_;
+  std::unique_ptr<Incarnation> incarnation_;
 };
 }  // namespace limemast::app
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -20,19 +20,18 @@
 
 std::string read_file(const std::string& path, const char* field) {
   std::ifstream in(path, std::ios::binary);
-  std::string text{std::istreambuf_iterator<char>(in),
-                   {}};  // an empty file is one that says nothing
+  std::string text{std::istreambuf_iterator<char>(in), {}};  // may be empty
   if (!in || in.bad()) throw app::BadSettings(std::string(field) + ": cannot read " + path);
   return text;
 }
 
-/// The controller itself: `limemast --config FILE`.
+/// Runs the controller: `limemast --config FILE`.
 int serve(const std::string& config, const std::string& tuning, bool check) {
   try {
     auto settings = app::parse_settings(read_file(config, "--config"));
     if (!tuning.empty()) app::apply_tuning(settings, read_file(tuning, "--tuning"));
     if (check) {
-      std::cout << "settings are good\n";
+      std::cout << "settings are valid\n";
       return 0;
     }
     app::set_up_logs(settings.label, settings.json_logs);
@@ -46,7 +45,8 @@
   }
 }
 
-/// `limemast settings`: what the operators' file may hold, and what it makes of it.
+/// Implements `limemast settings`: prints all operator settings with the values that result from
+/// `file`, or with the defaults if `file` is empty.
 int show_settings(const std::string& file) {
   try {
     wire::Settings settings;
@@ -70,18 +70,19 @@
   cli.add_option("--config", config, "the platform's settings (JSON)");
   cli.add_option("--tuning", tuning, "the operators' own settings (TOML); also LIMEMAST_TUNING")
       ->envname("LIMEMAST_TUNING");
-  cli.add_flag("--check", check, "only check the settings");
+  cli.add_flag("--check", check, "check the settings and exit without starting the controller");
   cli.set_version_flag("--version", std::string("limemast ") + LIMEMAST_VERSION);
   cli.require_subcommand(0, 1);
   tools::add_commands(cli, result);
-  std::string explained;
+  std::string settings_file;
   auto* settings = cli.add_subcommand(
-      "settings", "the operators' settings, each with its meaning, range and value");
-  settings->add_option("--tuning", explained,
+      "settings", "print the operators' settings, each with its meaning, range and value");
+  settings->add_option("--tuning", settings_file,
                        "a file whose values are shown instead of the defaults");
   bool with_meaning = true;
-  settings->add_flag("--explain", with_meaning, "with meaning and range, as is always done");
-  settings->callback([&] { result = show_settings(explained); });
+  settings->add_flag("--explain", with_meaning,
+                     "print the meaning and range of each setting; always on");
+  settings->callback([&] { result = show_settings(settings_file); });
   try {
     cli.parse(argc, argv);
     if (!result && config.empty()) throw CLI::RequiredError("--config");
--- a/src/app/options.cpp
+++ b/src/app/options.cpp
@@ -6,7 +6,7 @@
 namespace {
 using wire::Seconds;
 using S = wire::Settings;
-constexpr auto kNumber = Option::Form::DenseId;
+constexpr auto kNumber = Option::Form::Number;
 constexpr auto kWhole = Option::Form::Whole;
 constexpr auto kFlag = Option::Form::Flag;
 template <class T>
@@ -25,71 +25,77 @@
 }
 }  // namespace
 
-// A field is named once: what is shown and what is set cannot come apart.
+// Generates getter and setter from one field name, so that both always refer to the same field.
 #define FIELD(path) \
   [](const S& s) { return value_of(s.path); }, [](S& s, double v) { put(s.path, v); }
 
 const std::vector<Option>& options() {
   static const std::vector<Option> all = {
-      {"scheduling", "short_share", kNumber, 0, 1, "share", "machines that take no long tasks",
-       FIELD(tuning.short_share), true},
+      {"scheduling", "short_share", kNumber, 0, 1, "share",
+       "share of the machines that take no long tasks", FIELD(tuning.short_share), true},
       {"scheduling", "long_threshold_s", kNumber, 0, 86400, "seconds",
-       "a job whose tasks average more is long", FIELD(tuning.long_threshold), true},
+       "a job is long if the average run time of its tasks exceeds this",
+       FIELD(tuning.long_threshold), true},
       {"scheduling", "min_probes", kWhole, 1, 1000, "probes",
-       "K: the fewest probes that a short job sends", FIELD(tuning.min_probes), true},
+       "K: the minimum number of probes that a short job sends", FIELD(tuning.min_probes), true},
       {"scheduling", "bypass_cap", kNumber, 0, 1000, "times",
-       "how often its own estimate a probe may be passed by", FIELD(tuning.bypass_cap), true},
+       "a queued probe may be bypassed for up to this many times its own job's estimate",
+       FIELD(tuning.bypass_cap), true},
       {"scheduling", "map_interval_s", kNumber, 0.1, 60, "seconds",
-       "how often the leader sends its map of long tasks", FIELD(tuning.map_interval), true},
-      {"scheduling", "progress_interval_s", kNumber, 0.5, 60, "seconds",
-       "how often an owner records the progress of its jobs", FIELD(tuning.progress_interval),
+       "interval at which the leader sends its map of long tasks", FIELD(tuning.map_interval),
        true},
+      {"scheduling", "progress_interval_s", kNumber, 0.5, 60, "seconds",
+       "interval at which a controller records the progress of the jobs that it owns",
+       FIELD(tuning.progress_interval), true},
       {"scheduling", "idle_return_s", kNumber, 0, 3600, "seconds",
-       "a machine idle for this long is given back if it is not needed", FIELD(tuning.idle_return),
-       true},
+       "a machine that is idle for this long and not needed is returned to the cloud",
+       FIELD(tuning.idle_return), true},
       {"scheduling", "overflow", kNumber, 0, 1, "share",
-       "of what arrays lack to be in time, bought as ordinary machines when no spot machine is to "
-       "be had",
+       "share of the capacity that arrays lack to meet their deadlines that is bought as ordinary "
+       "machines when no spot machine is available",
        FIELD(tuning.overflow), true},
       {"scheduling", "last_resort", kFlag, 0, 1, "",
-       "a class under half served, beside others nearly whole, gets the next room; production and "
-       "guarantees excepted",
+       "a class that is served less than half, while others are served almost fully, gets the next "
+       "free capacity; production jobs and guarantees are exempt",
        FIELD(tuning.last_resort)},
-      {"operator", "enabled", kFlag, 0, 1, "", "serve the operators' interface under /operator/v1/",
+      {"operator", "enabled", kFlag, 0, 1, "", "serve the operator API under /operator/v1/",
        FIELD(operators.enabled)},
       {"operator", "requests_per_s", kNumber, 0.1, 10000, "requests a second",
-       "answered by one controller; more are turned away", FIELD(operators.per_second)},
-      {"operator", "page", kWhole, 1, 1000, "entries", "of one answer at the most",
+       "operator requests that one controller answers; further requests are refused",
+       FIELD(operators.per_second)},
+      {"operator", "page", kWhole, 1, 1000, "entries", "maximum number of entries in one answer",
        FIELD(operators.page)},
       {"operator", "patience_s", kNumber, 0.05, 10, "seconds",
-       "waited for other controllers' parts of an answer", FIELD(operators.patience)},
+       "time to wait for other controllers' parts of an answer", FIELD(operators.patience)},
       {"operator", "history_every_s", kNumber, 1, 3600, "seconds",
-       "between two samples of the history", FIELD(operators.history_every)},
-      {"operator", "history_kept", kWhole, 1, 2000, "samples", "kept by each controller",
-       FIELD(operators.history_kept)},
+       "interval between two samples of the history", FIELD(operators.history_every)},
+      {"operator", "history_kept", kWhole, 1, 2000, "samples",
+       "samples of the history that each controller keeps", FIELD(operators.history_kept)},
       {"operator", "rehearse_per_s", kNumber, 0, 1000, "requests a second",
-       "a controller asks itself, to measure what being asked costs; 0: never",
+       "operator requests that a controller sends to itself, to measure their cost; 0: never",
        FIELD(operators.rehearse_per_s)},
       {"drains", "patience_s", kNumber, 0, 86400, "seconds",
-       "tasks that save nothing may run on for this long on a drained machine",
+       "tasks that save no checkpoint may keep running on a drained machine for this long",
        FIELD(drains.patience)},
       {"drains", "moves", kWhole, 1, 1000, "tasks",
-       "stopped for drains and not running elsewhere yet, at the most", FIELD(drains.moves)},
+       "maximum number of tasks that drains have stopped and that do not run elsewhere yet",
+       FIELD(drains.moves)},
       {"start", "bind_patience_s", kNumber, 0, 3600, "seconds",
-       "an address that a former process still holds is tried again for this long",
+       "binding an address that a previous process still holds is retried for this long",
        FIELD(start.bind_patience)},
       {"start", "ask_unheard", kFlag, 0, 1, "",
-       "after all controllers ended at once, ask machines to show themselves instead of waiting "
-       "for their reports",
+       "after all controllers have ended at the same time, ask machines for their state instead of "
+       "waiting for their reports",
        FIELD(start.ask_unheard)},
       {"overload", "lag_s", kNumber, 0, 10, "seconds",
-       "a controller further behind than this takes fewer submissions, then fewer questions; 0: "
-       "takes all",
+       "a controller whose event loop lags by more than this admits fewer submissions, then fewer "
+       "queries; 0: admits all",
        FIELD(overload.lag)},
       {"overload", "balance", kFlag, 0, 1, "",
-       "machines move from the controller with the most work to the one with the least",
+       "machines are moved from the controller with the most work to the one with the least",
        FIELD(overload.balance)},
-      {"log", "json", kFlag, 0, 1, "", "logs as JSON, one object a line", FIELD(json_logs)},
+      {"log", "json", kFlag, 0, 1, "", "write the log as JSON, one object per line",
+       FIELD(json_logs)},
   };
   return all;
 }
@@ -101,8 +107,8 @@
   for (const auto& o : options()) {
     if (section != o.section)
       out << (section.empty() ? "" : "\n") << '[' << (section = o.section) << "]\n";
-    out << "# " << o.meaning;
-    if (o.form != kFlag) out << " (" << o.unit << ", " << o.least << " to " << o.most << ")";
+    out << "# " << o.description;
+    if (o.form != kFlag) out << " (" << o.unit << ", " << o.min << " to " << o.max << ")";
     const auto v = o.get(settings);
     out << '\n' << o.name << " = ";
     if (o.form == kFlag)
--- a/src/app/options.hpp
+++ b/src/app/options.hpp
@@ -5,22 +5,23 @@
 #include "wire/settings.hpp"
 
 namespace limemast::app {
-/// One setting of the operators' file: where it stands, what it may be, and what it does. The one
-/// place that knows all of them: the file is checked against it and `limemast settings --explain`
-/// prints it.
+/// One setting of the operators' file: its section and name, its valid range and its description.
+/// The list of all options is used both to validate the file and to print
+/// `limemast settings --explain`.
 struct Option {
-  enum class Form { DenseId, Whole, Flag };
+  enum class Form { Number, Whole, Flag };
   const char* section;
   const char* name;
   Form form;
-  double least, most;  ///< of numbers
+  double min, max;  ///< valid range of a number; 0 and 1 for flags
   const char* unit;
-  const char* meaning;
+  const char* description;
   std::function<double(const wire::Settings&)> get;  ///< flags: 0 or 1
   std::function<void(wire::Settings&, double)> set;
-  bool flat = false;  ///< older files have it outside any section
+  bool flat = false;  ///< may also be set outside any section, as in older files
 };
 const std::vector<Option>& options();
-/// All options as a file that sets each to what `settings` has, meaning and range as comments.
+/// Formats all options as a file that sets each to its value in `settings`, with description and
+/// range as comments.
 std::string explain(const wire::Settings& settings);
 }  // namespace limemast::app
--- a/src/app/process.cpp
+++ b/src/app/process.cpp
@@ -8,60 +8,63 @@
 namespace {
 constexpr int kUserBacklog = 256;
 constexpr int kPeerBacklog = 16;
-constexpr int kStartingRetry =
-    1;  ///< seconds: the address that is still missing is tried again within these
-constexpr int kCrowdedRetry =
-    2;  ///< seconds: a machine that has lost its controller is back at another one within these
+/// Retry-After in seconds of requests that arrive before both addresses are bound.
+constexpr int kStartingRetryAfterS = 1;
+/// Retry-After in seconds of users' requests that arrive while few connections are left. Within
+/// this time, workers that have lost their controller reconnect to another one.
+constexpr int kOverloadedRetryAfterS = 2;
 }  // namespace
 
-// Sockets are shared out: users and workers, calls to others, and a reserve for links and files.
+// The allowed connections are divided: 70 % for requests of users and workers, 20 % for outgoing
+// calls, and the rest for peer connections and files.
 Process::Process(const wire::Settings& settings)
     : settings_(settings),
       runtime_(settings.max_connections / 5),
       server_(runtime_.loop(), settings.max_connections * 7 / 10,
-              [this](const net::HttpRequest& request, net::Responder respond, bool crowded) {
+              [this](const net::HttpRequest& request, net::Responder respond,
+                     bool few_connections_left) {
                 if (!controller_)
-                  return respond({503, R"({"error":"starting"})", kStartingRetry, {}});
-                if (crowded && request.path.starts_with("/submissions"))
-                  return respond({503, R"({"error":"no room"})", kCrowdedRetry, {}});
+                  return respond({503, R"({"error":"starting"})", kStartingRetryAfterS, {}});
+                if (few_connections_left && request.path.starts_with("/submissions"))
+                  return respond({503, R"({"error":"no room"})", kOverloadedRetryAfterS, {}});
                 controller_->serve(request, std::move(respond));
               }),
-      users_(runtime_.loop(), settings.serve_on, kUserBacklog),
-      peers_(runtime_.loop(), settings.peers_on, kPeerBacklog) {
+      user_listener_(runtime_.loop(), settings.serve_on, kUserBacklog),
+      peer_listener_(runtime_.loop(), settings.peers_on, kPeerBacklog) {
   auto links =
       std::make_unique<net::PeerLinks>(runtime_.loop(), settings.others, [this](wire::json m) {
         if (controller_) controller_->from_peer(m);
       });
-  links_ = links.get();
+  peer_links_ = links.get();
   runtime_.use_links(std::move(links));
-  bind(users_, "serve_on", [this](uv_stream_t* s) { server_.accept(s); });
-  bind(peers_, "back", [this](uv_stream_t* s) { links_->accept(s); });
+  bind(user_listener_, "serve_on", [this](uv_stream_t* s) { server_.accept(s); });
+  bind(peer_listener_, "back", [this](uv_stream_t* s) { peer_links_->accept(s); });
 }
 
-void Process::bind(net::Listener& listener, const char* field,
-                   std::function<void(uv_stream_t*)> connection) {
-  auto gave_up = [this, field](const std::string& why) {
-    spdlog::error("{}: {}", field, why);
-    result_ = 1;
+void Process::bind(net::Listener& listener, const char* setting,
+                   std::function<void(uv_stream_t*)> on_connection) {
+  auto on_bind_failed = [this, setting](const std::string& reason) {
+    spdlog::error("{}: {}; exiting", setting, reason);
+    exit_code_ = 1;
     uv_stop(runtime_.loop());
   };
   try {
     listener.bind(net::to_duration(settings_.start.bind_patience), runtime_.random(),
-                  {[this] { on_bound(); }, gave_up, std::move(connection)});
+                  {[this] { on_bound(); }, on_bind_failed, std::move(on_connection)});
   } catch (const net::BadAddress& e) {
-    throw BadSettings(std::string(field) + ": " + e.what());
+    throw BadSettings(std::string(setting) + ": " + e.what());
   }
 }
 
 void Process::on_bound() {
-  if (++bound_ < 2) return;
-  peers_.listen();
-  users_.listen();
+  if (++bound_listeners_ < 2) return;
+  peer_listener_.listen();
+  user_listener_.listen();
   controller_.emplace(runtime_, settings_);
 }
 
 int Process::run() {
   runtime_.run();
-  return result_;
+  return exit_code_;
 }
 }  // namespace limemast::app
--- a/src/app/process.hpp
+++ b/src/app/process.hpp
@@ -8,31 +8,32 @@
 #include "net/uv_runtime.hpp"
 
 namespace limemast::app {
-/// The controller as a process: its two addresses first, then all else.
+/// The controller process. It binds its two addresses, then starts the controller.
 ///
-/// Invariant: no controller is begun before both addresses are bound. A run takes it that the one
-/// before has ended and ends that one's grant; a process of the same label that still listens is
-/// the sign that it has not.
+/// Invariant: no controller starts before both addresses are bound. A new incarnation assumes that
+/// the previous one has ended, and ends its lease. A process of the same label that still listens
+/// shows that the previous one has not ended.
 class Process {
  public:
-  /// Throws BadSettings if an address can never be had.
+  /// Throws BadSettings if an address is malformed and can never be bound.
   explicit Process(const wire::Settings& settings);
-  /// Runs until the process is killed; returns an exit code if it cannot start.
+  /// Runs the event loop until the process is killed. Returns an exit code if an address cannot be
+  /// bound.
   int run();
 
  private:
-  void bind(net::Listener& listener, const char* field,
-            std::function<void(uv_stream_t*)> connection);
+  void bind(net::Listener& listener, const char* setting,
+            std::function<void(uv_stream_t*)> on_connection);
   void on_bound();
 
   const wire::Settings& settings_;
   net::UvRuntime runtime_;
   std::optional<ControllerSupervisor> controller_;
   net::HttpServer server_;
-  net::PeerLinks* links_ = nullptr;  ///< the runtime's
-  net::Listener users_;
-  net::Listener peers_;
-  unsigned bound_ = 0;
-  int result_ = 0;
+  net::PeerLinks* peer_links_ = nullptr;  ///< owned by `runtime_`
+  net::Listener user_listener_;
+  net::Listener peer_listener_;
+  unsigned bound_listeners_ = 0;
+  int exit_code_ = 0;
 };
 }  // namespace limemast::app
--- a/src/app/scoped_runtime.hpp
+++ b/src/app/scoped_runtime.hpp
@@ -4,7 +4,8 @@
 #include "net/runtime.hpp"
 
 namespace limemast::app {
-/// Passes everything on, but drops the callbacks of a node that has been thrown away.
+/// Forwards all calls to another runtime, but drops callbacks that arrive after this object, and
+/// with it the controller incarnation that uses it, has been destroyed.
 class ScopedRuntime final : public net::Runtime {
  public:
   explicit ScopedRuntime(net::Runtime& inner)
@@ -14,10 +15,10 @@
   net::WallTime wall() const override { return inner_.wall(); }
   std::mt19937_64& random() override { return inner_.random(); }
   TimerId after(net::Duration delay, std::function<void()> fire) override {
-    return inner_.after(delay, guard(std::move(fire)));
+    return inner_.after(delay, unless_destroyed(std::move(fire)));
   }
   void cancel(TimerId timer) override { inner_.cancel(timer); }
-  void post(std::function<void()> fire) override { inner_.post(guard(std::move(fire))); }
+  void post(std::function<void()> fire) override { inner_.post(unless_destroyed(std::move(fire))); }
   void http(const net::Endpoint& to, net::HttpRequest request, net::Duration timeout,
             std::function<void(net::HttpResult)> done) override {
     inner_.http(to, std::move(request), timeout,
@@ -31,7 +32,7 @@
   }
 
  private:
-  std::function<void()> guard(std::function<void()> fire) {
+  std::function<void()> unless_destroyed(std::function<void()> fire) {
     return [alive = std::weak_ptr<bool>(alive_), fire = std::move(fire)] {
       if (alive.lock()) fire();
     };
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -13,7 +13,7 @@
 using wire::json;
 using wire::Seconds;
 
-/// Looks fields up by path and names the path when one is missing or out of range.
+/// Reads the fields of a JSON object. Errors name the path of a field that is missing or invalid.
 class Fields {
  public:
   Fields(const json& object, std::string path) : object_(object), path_(std::move(path)) {
@@ -21,109 +21,113 @@
   }
   const json& at(const char* name) const {
     auto it = object_.find(name);
-    if (it == object_.end()) throw BadSettings(full(name) + ": missing");
+    if (it == object_.end()) throw BadSettings(full_path(name) + ": missing");
     return *it;
   }
-  std::string text(const char* name) const {
+  std::string string(const char* name) const {
     const auto& v = at(name);
     if (!v.is_string() || v.get_ref<const std::string&>().empty())
-      throw BadSettings(full(name) + ": must be a text");
+      throw BadSettings(full_path(name) + ": must be a non-empty string");
     return v.get<std::string>();
   }
-  double number(const char* name, double least, bool or_above = true) const {
-    return check(name, at(name), least, or_above);
+  double number(const char* name, double min, bool inclusive = true) const {
+    return check(name, at(name), min, inclusive);
   }
   double number_or(const char* name, double fallback) const {
     auto it = object_.find(name);
     return it == object_.end() ? fallback : check(name, *it, 0, true);
   }
-  Fields in(const char* name) const { return {at(name), full(name)}; }
-  std::string full(const char* name) const { return path_.empty() ? name : path_ + "." + name; }
+  Fields section(const char* name) const { return {at(name), full_path(name)}; }
+  std::string full_path(const char* name) const {
+    return path_.empty() ? name : path_ + "." + name;
+  }
 
  private:
-  double check(const char* name, const json& v, double least, bool or_above) const {
+  double check(const char* name, const json& v, double min, bool inclusive) const {
     if (!v.is_number() || !std::isfinite(v.get<double>()))
-      throw BadSettings(full(name) + ": must be a number");
+      throw BadSettings(full_path(name) + ": must be a number");
     const double n = v.get<double>();
-    if (n < least || (n == least && !or_above)) throw BadSettings(full(name) + ": out of range");
+    if (n < min || (n == min && !inclusive)) throw BadSettings(full_path(name) + ": out of range");
     return n;
   }
   const json& object_;
   std::string path_;
 };
 
-constexpr Seconds kLeastGap{4};
+constexpr Seconds kMinCancelLeaseGap{4};
 
 std::string endpoint(const Fields& f, const char* name) {
-  auto text = f.text(name);
-  if (text.find(':') == std::string::npos)
-    throw BadSettings(f.full(name) + ": must be address:port");
-  return text;
+  auto address = f.string(name);
+  if (address.find(':') == std::string::npos)
+    throw BadSettings(f.full_path(name) + ": must be address:port");
+  return address;
 }
 }  // namespace
 
 wire::Settings parse_settings(const std::string& text) {
   const auto root = json::parse(text, nullptr, false);
   if (root.is_discarded()) throw BadSettings("settings: not JSON");
-  const Fields top(root, "");
+  const Fields root_fields(root, "");
   wire::Settings s;
-  s.label = top.text("label");
-  s.zone = top.text("domain");
-  s.serve_on = endpoint(top, "serve_on");
-  s.peers_on = endpoint(top, "back");
-  if (!top.at("others").is_array()) throw BadSettings("others: must be a list");
-  for (const auto& o : top.at("others")) {
+  s.label = root_fields.string("label");
+  s.zone = root_fields.string("domain");
+  s.serve_on = endpoint(root_fields, "serve_on");
+  s.peers_on = endpoint(root_fields, "back");
+  if (!root_fields.at("others").is_array()) throw BadSettings("others: must be a list");
+  for (const auto& o : root_fields.at("others")) {
     const Fields other(o, "others");
-    s.others[other.text("label")] = endpoint(other, "endpoint");
+    s.others[other.string("label")] = endpoint(other, "endpoint");
   }
-  const auto outside = top.in("outside");
+  const auto outside = root_fields.section("outside");
   s.cloud = endpoint(outside, "cloud");
   s.state = endpoint(outside, "state");
-  const auto params = top.in("settings");
-  s.size = static_cast<std::uint32_t>(params.number("size", 1));
-  if (!params.at("zones").is_array()) throw BadSettings("settings.zones: must be a list");
-  for (const auto& z : params.at("zones")) {
-    if (!z.is_string()) throw BadSettings("settings.zones: must be texts");
+  const auto cluster = root_fields.section("settings");
+  s.size = static_cast<std::uint32_t>(cluster.number("size", 1));
+  if (!cluster.at("zones").is_array()) throw BadSettings("settings.zones: must be a list");
+  for (const auto& z : cluster.at("zones")) {
+    if (!z.is_string()) throw BadSettings("settings.zones: must be strings");
     s.zones.push_back(z.get<std::string>());
   }
-  if (!params.at("teams").is_array()) throw BadSettings("settings.teams: must be a list");
-  for (const auto& t : params.at("teams")) {
+  if (!cluster.at("teams").is_array()) throw BadSettings("settings.teams: must be a list");
+  for (const auto& t : cluster.at("teams")) {
     const Fields team(t, "settings.teams");
-    s.teams[team.text("name")] = {team.number_or("cpus", 0), team.number_or("cpus_max", 0),
-                                  team.number_or("gpus", 0), team.number_or("gpus_max", 0)};
+    s.teams[team.string("name")] = {team.number_or("cpus", 0), team.number_or("cpus_max", 0),
+                                    team.number_or("gpus", 0), team.number_or("gpus_max", 0)};
   }
   if (auto it = root["settings"].find("objectives"); it != root["settings"].end()) {
     if (!it->is_array()) throw BadSettings("settings.objectives: must be a list");
     for (const auto& o : *it) {
-      const Fields aim(o, "settings.objectives");
-      s.objectives.push_back({aim.text("kind"), o.value("class", ""),
-                              Seconds(aim.number_or("within_s", 0)), aim.number_or("share", 0)});
+      const Fields objective(o, "settings.objectives");
+      s.objectives.push_back({objective.string("kind"), o.value("class", ""),
+                              Seconds(objective.number_or("within_s", 0)),
+                              objective.number_or("share", 0)});
     }
   }
-  const auto workers = params.in("workers");
+  const auto workers = cluster.section("workers");
   s.heartbeat_interval = Seconds(workers.number("report_s", 0, false));
   s.worker_lease = Seconds(workers.number("lease_s", 0, false));
   s.cancel_timeout = Seconds(workers.number("cancel_s", 0, false));
-  // A controller that is cut off keeps its workers' tasks for its grant's time, and they live a
-  // lease more. With less than this between them its grant would end between two renewals, or a
-  // cancelled task live for too long.
-  if (s.cancel_timeout < s.worker_lease * wire::kClockDriftFactor + kLeastGap)
+  // The tasks of a controller that is cut off keep running until its own lease has expired and then
+  // for one worker lease. With a smaller gap the controller's lease would expire between two
+  // renewals, or a cancelled task would run for longer than `cancel_s`.
+  if (s.cancel_timeout < s.worker_lease * wire::kClockDriftFactor + kMinCancelLeaseGap)
     throw BadSettings("settings.workers.cancel_s: must be at least 4 s above lease_s");
-  const auto state = params.in("state");
+  const auto state = cluster.section("state");
   s.state_rps = state.number("rps", 0, false);
   s.state_write_rps = state.number("write_rps", 0, false);
   s.value_kb = state.number("value_kb", 0, false);
   s.txn_ops = static_cast<std::uint32_t>(state.number("txn_ops", 2));
-  const auto cloud = params.in("cloud");
+  const auto cloud = cluster.section("cloud");
   s.cloud_rps = cloud.number("rps", 0, false);
   s.list_lag = Seconds(cloud.number("list_lag_s", 0));
-  s.max_connections = static_cast<std::uint32_t>(params.in("limits").number("max_connections", 16));
-  s.skew = Seconds(params.number_or("skew_ms", 0) / 1000);
+  s.max_connections =
+      static_cast<std::uint32_t>(cluster.section("limits").number("max_connections", 16));
+  s.skew = Seconds(cluster.number_or("skew_ms", 0) / 1000);
   return s;
 }
 
 namespace {
-/// Sets one option from the file; `name` is what the file calls it.
+/// Sets one option from the file. `name` is its name in the file, for errors.
 void apply(wire::Settings& settings, const Option& o, const toml::node& node,
            const std::string& name) {
   if (o.form == Option::Form::Flag) {
@@ -133,8 +137,8 @@
   }
   const double value = node.is_number() ? node.value_or(std::nan("")) : std::nan("");
   std::ostringstream range;
-  range << " from " << o.least << " to " << o.most;
-  if (!(value >= o.least && value <= o.most))
+  range << " from " << o.min << " to " << o.max;
+  if (!(value >= o.min && value <= o.max))
     throw BadSettings(name + ": must be a number" + range.str());
   if (o.form == Option::Form::Whole && value != std::floor(value))
     throw BadSettings(name + ": must be a whole number" + range.str());
--- a/src/app/settings.hpp
+++ b/src/app/settings.hpp
@@ -5,12 +5,13 @@
 #include "wire/settings.hpp"
 
 namespace limemast::app {
-/// Says which field is wrong.
+/// The settings are invalid; the message names the field.
 struct BadSettings : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
-/// The platform's JSON; unknown fields are ignored.
+/// Parses the platform's JSON settings; unknown fields are ignored. Throws BadSettings.
 wire::Settings parse_settings(const std::string& text);
-/// The operators' own TOML; unknown fields are errors, since they would be misspelt ones.
+/// Applies the operators' TOML file. Unknown fields are errors, because they are probably misspelt.
+/// Throws BadSettings.
 void apply_tuning(wire::Settings& settings, const std::string& toml_text);
 }  // namespace limemast::app
--- a/src/tools/api.cpp
+++ b/src/tools/api.cpp
@@ -8,7 +8,7 @@
 namespace limemast::tools {
 namespace {
 const std::string kPrefix = "/operator/v1/";
-constexpr std::size_t kMaxShown = 160;
+constexpr std::size_t kMaxReasonBytes = 160;
 }  // namespace
 
 HttpApi::HttpApi(net::Runtime& runtime, std::vector<net::Endpoint> controllers,
@@ -20,19 +20,22 @@
   attempt({method, kPrefix + path, body}, 0, {}, std::move(done));
 }
 
-void HttpApi::attempt(net::HttpRequest request, std::size_t tries, Answer best, Done done) {
-  if (tries == controllers_.size()) return done(std::move(best));
-  const auto& to = controllers_[at_];
+void HttpApi::attempt(net::HttpRequest request, std::size_t attempts, Answer last_refusal,
+                      Done done) {
+  if (attempts == controllers_.size()) return done(std::move(last_refusal));
+  const auto& to = controllers_[current_];
   runtime_.http(to, request, timeout_,
-                [this, request, tries, best = std::move(best), done = std::move(done),
-                 to](net::HttpResult r) mutable {
-                  // 503: this one cannot now, another may. Drains may be asked for twice, so that a
-                  // request without an answer is repeated.
+                [this, request, attempts, last_refusal = std::move(last_refusal),
+                 done = std::move(done), to](net::HttpResult r) mutable {
+                  // After a 503 or without an answer the next controller is tried. A request whose
+                  // answer was lost is sent again: starting or ending a drain twice has no further
+                  // effect.
                   if (r.status != 0 && r.status != 503)
                     return done({r.status, std::move(r.body), to});
-                  if (r.status != 0) best = {r.status, std::move(r.body), to};
-                  at_ = (at_ + 1) % controllers_.size();
-                  attempt(std::move(request), tries + 1, std::move(best), std::move(done));
+                  if (r.status != 0) last_refusal = {r.status, std::move(r.body), to};
+                  current_ = (current_ + 1) % controllers_.size();
+                  attempt(std::move(request), attempts + 1, std::move(last_refusal),
+                          std::move(done));
                 });
 }
 
@@ -41,26 +44,28 @@
   std::istringstream in(list);
   for (std::string one; std::getline(in, one, ',');) {
     sockaddr_in address{};
-    if (!net::parse_address(one, address)) throw ApiError("--to: not an address: " + one);
+    if (!net::parse_address(one, address)) throw ApiError("--to: must be HOST:PORT: " + one);
     out.push_back(one);
   }
   if (out.empty()) throw ApiError("--to: names no controller");
   return out;
 }
 
-wire::json body_of(const Answer& answer, const std::string& path, std::initializer_list<int> good) {
+wire::json body_of(const Answer& answer, const std::string& path,
+                   std::initializer_list<int> accepted_statuses) {
   if (answer.status == 0)
     throw ApiError(path + ": no controller answered, or the answer was cut off");
   auto body = wire::json::parse(answer.body, nullptr, false);
-  if (std::find(good.begin(), good.end(), answer.status) == good.end()) {
+  if (std::find(accepted_statuses.begin(), accepted_statuses.end(), answer.status) ==
+      accepted_statuses.end()) {
     std::string why = body.is_object() && body.contains("error") && body["error"].is_string()
                           ? body["error"].get<std::string>()
                           : "no reason given";
     throw ApiError(path + ": " + answer.from + " answered " + std::to_string(answer.status) + ": " +
-                   why.substr(0, kMaxShown));
+                   why.substr(0, kMaxReasonBytes));
   }
   if (!body.is_object())
-    throw ApiError(path + ": " + answer.from + " sent bytes that are no JSON object");
+    throw ApiError(path + ": " + answer.from + " sent an answer that is not a JSON object");
   return body;
 }
 }  // namespace limemast::tools
--- a/src/tools/commands.cpp
+++ b/src/tools/commands.cpp
@@ -13,26 +13,26 @@
 namespace {
 using wire::json;
 using namespace std::chrono_literals;
-constexpr int kFailed = 1;
-constexpr int kBadUsage = 2;
+constexpr int kExitFailed = 1;
+constexpr int kExitBadUsage = 2;
 
-/// What every command is told.
-struct Common {
+/// Options that all commands have.
+struct ApiOptions {
   std::string to = "127.0.0.1:8080";
   double timeout_s = 3;
   net::Duration timeout() const { return net::to_duration(wire::Seconds(timeout_s)); }
 };
 
-void add_common(CLI::App* command, const std::shared_ptr<Common>& common) {
+void add_api_options(CLI::App* command, const std::shared_ptr<ApiOptions>& api_options) {
   command
-      ->add_option("--to", common->to,
+      ->add_option("--to", api_options->to,
                    "controllers, HOST:PORT[,HOST:PORT...]; also LIMEMAST_CONTROLLERS")
       ->envname("LIMEMAST_CONTROLLERS");
-  command->add_option("--timeout", common->timeout_s, "seconds to wait for one answer")
+  command->add_option("--timeout", api_options->timeout_s, "seconds to wait for one answer")
       ->check(CLI::Range(0.1, 60.0));
 }
 
-/// Runs the loop until `start`'s work has called what it was given.
+/// Sends one request and runs the loop until its answer arrives.
 Answer call(net::UvRuntime& runtime, Api& api, const std::string& method, const std::string& path,
             const std::string& body = "") {
   Answer out;
@@ -50,59 +50,59 @@
   std::shared_ptr<Snapshot> out;
   std::string error;
   bool done = false;
-  const auto began = runtime.now();
-  const bool person = isatty(STDERR_FILENO);
+  const auto started = runtime.now();
+  const bool interactive = isatty(STDERR_FILENO);
   fetch(
       api, {}, runtime.wall(),
-      [&](const std::string& so_far) {
-        // Only what takes long says how far it is.
-        if (runtime.now() - began > 1s)
-          std::cerr << (person ? "\r\033[Kread " : "read ") << so_far << (person ? "" : "\n")
-                    << std::flush;
+      [&](const std::string& progress) {
+        // Progress is printed only if reading takes longer than a second.
+        if (runtime.now() - started > 1s)
+          std::cerr << (interactive ? "\r\033[Kread " : "read ") << progress
+                    << (interactive ? "" : "\n") << std::flush;
       },
-      [&](std::shared_ptr<Snapshot> snapshot, const std::string& why) {
+      [&](std::shared_ptr<Snapshot> snapshot, const std::string& reason) {
         out = std::move(snapshot);
-        error = why;
+        error = reason;
         done = true;
         uv_stop(runtime.loop());
       });
   while (!done) runtime.run();
-  if (person && runtime.now() - began > 1s) std::cerr << "\r\033[K" << std::flush;
+  if (interactive && runtime.now() - started > 1s) std::cerr << "\r\033[K" << std::flush;
   if (!out) throw ApiError(error);
   return out;
 }
 
-/// Runs a command and turns what goes wrong into one line and an exit code.
+/// Runs a command. Errors are printed as one line and returned as an exit code.
 template <class Act>
-int guarded(const Common& common, Act act) {
+int run_and_report_errors(const ApiOptions& api_options, Act act) {
   std::vector<net::Endpoint> controllers;
   try {
-    controllers = parse_controllers(common.to);
+    controllers = parse_controllers(api_options.to);
   } catch (const ApiError& e) {
     std::cerr << e.what() << '\n';
-    return kBadUsage;
+    return kExitBadUsage;
   }
   try {
     return act(controllers);
   } catch (const ApiError& e) {
     std::cerr << e.what() << '\n';
   } catch (const json::exception&) {
-    std::cerr << "an answer of a form that this version does not know\n";
+    std::cerr << "the answer has a format that this version does not know\n";
   }
-  return kFailed;
+  return kExitFailed;
 }
 
 void print(const Table& t) {
-  std::vector<std::size_t> wide;
+  std::vector<std::size_t> widths;
   for (std::size_t i = 0; i < t.columns.size(); ++i) {
     auto w = width(t.columns[i]);
     for (const auto& r : t.rows) w = std::max(w, width(r[i].text));
-    wide.push_back(w);
+    widths.push_back(w);
   }
   auto line = [&](auto text) {
     std::string out;
-    for (std::size_t i = 0; i < wide.size(); ++i)
-      out += fit(text(i), wide[i]) + (i + 1 < wide.size() ? "  " : "");
+    for (std::size_t i = 0; i < widths.size(); ++i)
+      out += fit(text(i), widths[i]) + (i + 1 < widths.size() ? "  " : "");
     out.erase(out.find_last_not_of(' ') + 1);
     std::cout << out << '\n';
   };
@@ -116,11 +116,12 @@
   return {};
 }
 
-/// Says how far the drain is until it is complete; false once `patience` is over.
+/// Prints the progress of a drain until it is complete. Returns false if it is not complete within
+/// `timeout`.
 bool wait_for_drain(net::UvRuntime& runtime, Api& api, const std::string& id,
-                    net::Duration patience) {
-  const auto began = runtime.now();
-  std::string said;
+                    net::Duration timeout) {
+  const auto started = runtime.now();
+  std::string last_printed;
   while (true) {
     const auto d = find_drain(body_of(call(runtime, api, "GET", "drains"), "drains"), id);
     if (d.is_null()) throw ApiError(id + ": the drain was ended meanwhile");
@@ -128,10 +129,10 @@
     one.drains.push_back(d);
     const auto row = drains_table(one).rows.front();
     const auto text =
-        id + ": " + row[5].text + ", " + row[4].text + " tasks left, held by " + row[6].text;
-    if (text != said) std::cerr << (said = text) << '\n';
+        id + ": " + row[5].text + ", " + row[4].text + " tasks left, held back by " + row[6].text;
+    if (text != last_printed) std::cerr << (last_printed = text) << '\n';
     if (d.value("complete", json()).is_boolean() && d["complete"].get<bool>()) return true;
-    if (runtime.now() - began > patience) return false;
+    if (runtime.now() - started > timeout) return false;
     bool due = false;
     runtime.after(1s, [&] {
       due = true;
@@ -141,51 +142,55 @@
   }
 }
 
-void add_drain(CLI::App& cli, std::optional<int>& result, bool on) {
+void add_drain(CLI::App& cli, std::optional<int>& result, bool start_drain) {
   auto* command =
-      on ? cli.add_subcommand(
-               "drain", "empty a machine or a zone: nothing new goes there, what is there moves")
-         : cli.add_subcommand("undrain", "end a drain");
-  struct Asked {
+      start_drain
+          ? cli.add_subcommand(
+                "drain",
+                "drain a machine or a zone: no new tasks start there, and its tasks move elsewhere")
+          : cli.add_subcommand("undrain", "end a drain");
+  struct DrainOptions {
     std::string kind, name, note;
     bool give_back = false, wait = false;
     double wait_s = 3600;
   };
-  auto common = std::make_shared<Common>();
-  auto asked = std::make_shared<Asked>();
-  command->add_option("kind", asked->kind, "machine or zone")
+  auto api_options = std::make_shared<ApiOptions>();
+  auto options = std::make_shared<DrainOptions>();
+  command->add_option("kind", options->kind, "machine or zone")
       ->required()
       ->check(CLI::IsMember({"machine", "zone"}));
-  command->add_option("name", asked->name, "its name")->required();
-  if (on) {
-    command->add_option("--note", asked->note, "why, for others to read (200 bytes)");
-    command->add_flag("--give-back", asked->give_back, "return emptied machines to the cloud");
-    command->add_flag(
-        "--wait", asked->wait,
-        "wait until it is complete and say what holds it back; exit code 1 if it is not");
-    command->add_option("--wait-most", asked->wait_s, "seconds to wait at the most")
+  command->add_option("name", options->name, "its name")->required();
+  if (start_drain) {
+    command->add_option("--note", options->note,
+                        "the reason, shown to all operators (at most 200 bytes)");
+    command->add_flag("--give-back", options->give_back, "return emptied machines to the cloud");
+    command->add_flag("--wait", options->wait,
+                      "wait until the drain is complete and print what holds it back; exit code 1 "
+                      "if it does not complete in time");
+    command
+        ->add_option("--wait-most", options->wait_s, "maximum time to wait with --wait, in seconds")
         ->check(CLI::Range(1.0, 86400.0));
   }
-  add_common(command, common);
-  command->callback([&result, common, asked, on] {
-    result = guarded(*common, [&](const auto& controllers) {
+  add_api_options(command, api_options);
+  command->callback([&result, api_options, options, start_drain] {
+    result = run_and_report_errors(*api_options, [&](const auto& controllers) {
       net::UvRuntime runtime(16);
-      HttpApi api(runtime, controllers, common->timeout());
-      const auto id = asked->kind + "/" + asked->name;
+      HttpApi api(runtime, controllers, api_options->timeout());
+      const auto id = options->kind + "/" + options->name;
       const auto path = "drains/" + id;
-      if (!on) {
+      if (!start_drain) {
         body_of(call(runtime, api, "DELETE", path), path);
-        std::cout << id << " is drained no more\n";
+        std::cout << id << ": the drain has ended\n";
         return 0;
       }
       body_of(call(runtime, api, "PUT", path,
-                   json{{"note", asked->note}, {"giveBack", asked->give_back}}.dump()),
+                   json{{"note", options->note}, {"giveBack", options->give_back}}.dump()),
               path, {200, 201});
       std::cout << id << " is being drained\n";
-      if (!asked->wait) return 0;
-      return wait_for_drain(runtime, api, id, net::to_duration(wire::Seconds(asked->wait_s)))
+      if (!options->wait) return 0;
+      return wait_for_drain(runtime, api, id, net::to_duration(wire::Seconds(options->wait_s)))
                  ? 0
-                 : kFailed;
+                 : kExitFailed;
     });
   });
 }
@@ -193,41 +198,42 @@
 
 void add_commands(CLI::App& cli, std::optional<int>& result) {
   {
-    auto* command =
-        cli.add_subcommand("console", "terminal view of jobs, machines, drains and controllers");
-    auto common = std::make_shared<Common>();
+    auto* command = cli.add_subcommand(
+        "console", "show jobs, machines, drains and controllers in the terminal");
+    auto api_options = std::make_shared<ApiOptions>();
     auto refresh = std::make_shared<double>(2);
-    add_common(command, common);
-    command->add_option("--refresh", *refresh, "seconds between two readings")
+    add_api_options(command, api_options);
+    command->add_option("--refresh", *refresh, "seconds between two refreshes")
         ->check(CLI::Range(0.5, 3600.0));
-    command->callback([&result, common, refresh] {
-      result = guarded(*common, [&](const auto& controllers) {
-        return run_console(controllers, common->timeout(),
+    command->callback([&result, api_options, refresh] {
+      result = run_and_report_errors(*api_options, [&](const auto& controllers) {
+        return run_console(controllers, api_options->timeout(),
                            net::to_duration(wire::Seconds(*refresh)));
       });
     });
   }
   {
-    auto* command = cli.add_subcommand("report", "one page that says for each job why it waits");
-    auto common = std::make_shared<Common>();
+    auto* command =
+        cli.add_subcommand("report", "write an HTML page that says for each job why it waits");
+    auto api_options = std::make_shared<ApiOptions>();
     auto out = std::make_shared<std::string>();
     auto as_json = std::make_shared<bool>(false);
-    add_common(command, common);
+    add_api_options(command, api_options);
     command->add_option("--out", *out, "the file to write; without it, standard output");
     command->add_flag("--json", *as_json, "JSON for scripts instead of a page");
-    command->callback([&result, common, out, as_json] {
-      result = guarded(*common, [&](const auto& controllers) {
+    command->callback([&result, api_options, out, as_json] {
+      result = run_and_report_errors(*api_options, [&](const auto& controllers) {
         net::UvRuntime runtime(16);
-        HttpApi api(runtime, controllers, common->timeout());
+        HttpApi api(runtime, controllers, api_options->timeout());
         const auto snapshot = read_all(runtime, api);
         std::string text;
         if (*as_json) {
           text = to_json(*snapshot).dump(1, ' ', false, json::error_handler_t::replace) + "\n";
         } else {
-          std::string why;
-          const auto plots = plot_history(*snapshot, why);
+          std::string no_plots_reason;
+          const auto plots = plot_history(*snapshot, no_plots_reason);
           text = render_report(*snapshot, plots);
-          if (!why.empty()) std::cerr << why << '\n';
+          if (!no_plots_reason.empty()) std::cerr << no_plots_reason << '\n';
         }
         if (out->empty()) {
           std::cout << text << std::flush;
@@ -244,13 +250,13 @@
   add_drain(cli, result, false);
   {
     auto* command =
-        cli.add_subcommand("drains", "list drains, how far they are and what holds them back");
-    auto common = std::make_shared<Common>();
-    add_common(command, common);
-    command->callback([&result, common] {
-      result = guarded(*common, [&](const auto& controllers) {
+        cli.add_subcommand("drains", "list drains, their progress and what holds them back");
+    auto api_options = std::make_shared<ApiOptions>();
+    add_api_options(command, api_options);
+    command->callback([&result, api_options] {
+      result = run_and_report_errors(*api_options, [&](const auto& controllers) {
         net::UvRuntime runtime(16);
-        HttpApi api(runtime, controllers, common->timeout());
+        HttpApi api(runtime, controllers, api_options->timeout());
         const auto body = body_of(call(runtime, api, "GET", "drains"), "drains");
         Snapshot s;
         for (const auto& d : body.at("drains")) s.drains.push_back(d);
--- a/src/tools/commands.hpp
+++ b/src/tools/commands.hpp
@@ -4,7 +4,7 @@
 #include <CLI/CLI.hpp>
 
 namespace limemast::tools {
-/// Adds what operators type: console, report, drain, undrain, drains. The chosen one's exit code is
-/// put into `result` while the command line is parsed.
+/// Adds the operators' subcommands: console, report, drain, undrain, drains. Parsing the command
+/// line runs the chosen one and stores its exit code in `result`.
 void add_commands(CLI::App& cli, std::optional<int>& result);
 }  // namespace limemast::tools
--- a/src/tools/console.cpp
+++ b/src/tools/console.cpp
@@ -13,9 +13,10 @@
 namespace limemast::tools {
 namespace {
 using Key = Screen::Key;
-constexpr int kRedraw = 'L' & 0x1F;  ///< Ctrl-L, as everywhere
+constexpr int kRedrawKey = 'L' & 0x1F;  ///< Ctrl-L
+constexpr int kEscapeKey = 27;
 
-/// Gives the terminal back whatever happens.
+/// Switches the terminal to full-screen mode; the destructor restores it.
 class Terminal {
  public:
   Terminal() {
@@ -27,8 +28,8 @@
     nodelay(stdscr, TRUE);
     set_escdelay(25);
     curs_set(0);
-    colours_ = has_colors();
-    if (!colours_) return;
+    has_colors_ = has_colors();
+    if (!has_colors_) return;
     start_color();
     use_default_colors();
     init_pair(1, COLOR_CYAN, -1);
@@ -43,7 +44,8 @@
     getmaxyx(stdscr, rows, columns);
     erase();
     int y = 0;
-    // The last cell of the last line stays free: writing it scrolls some terminals.
+    // The last column stays empty, because writing the last cell of the last line scrolls some
+    // terminals.
     for (const auto& line :
          screen.render(static_cast<std::size_t>(rows),
                        static_cast<std::size_t>(std::max(1, columns - 1)), net::Clock::now())) {
@@ -60,19 +62,19 @@
     using Look = Screen::Line::Look;
     switch (look) {
       case Look::Title:
-        return colours_ ? COLOR_PAIR(1) | A_BOLD : A_BOLD;
+        return has_colors_ ? COLOR_PAIR(1) | A_BOLD : A_BOLD;
       case Look::Header:
         return A_UNDERLINE;
       case Look::Selected:
         return A_REVERSE;
       case Look::Warning:
-        return colours_ ? COLOR_PAIR(2) | A_BOLD : A_BOLD;
+        return has_colors_ ? COLOR_PAIR(2) | A_BOLD : A_BOLD;
       case Look::Plain:
         return A_NORMAL;
     }
     return A_NORMAL;
   }
-  bool colours_ = false;
+  bool has_colors_ = false;
 };
 
 void press(Screen& screen, int c) {
@@ -94,7 +96,7 @@
     case '\n':
     case '\r':
       return screen.press(Key::Accept);
-    case 27:
+    case kEscapeKey:
       return screen.press(Key::Cancel);
     case KEY_BACKSPACE:
     case 127:
@@ -154,12 +156,12 @@
             if (snapshot)
               screen.show(std::move(snapshot), runtime.now());
             else
-              screen.failed(error);
+              screen.set_error(error);
             terminal.draw(screen);
             runtime.after(every, read);
           });
   };
-  // The ages on the screen go on while nothing comes.
+  // Redraws every second, so that the displayed ages advance between two answers.
   std::function<void()> redraw = [&] {
     terminal.draw(screen);
     runtime.after(std::chrono::seconds(1), redraw);
@@ -169,33 +171,33 @@
     Terminal& terminal;
     uv_loop_t* loop;
   } context{screen, terminal, runtime.loop()};
-  auto look = [](Context* c) {
+  auto handle_keys = [](Context* c) {
     for (int key; (key = getch()) != ERR;) {
-      if (key == kRedraw)
+      if (key == kRedrawKey)
         clearok(stdscr, TRUE);
       else if (key != KEY_RESIZE)
         press(c->screen, key);
     }
-    if (c->screen.quits()) return uv_stop(c->loop);
+    if (c->screen.quit_requested()) return uv_stop(c->loop);
     c->terminal.draw(c->screen);
   };
   uv_poll_t keys{};
   uv_poll_init(runtime.loop(), &keys, STDIN_FILENO);
   keys.data = &context;
-  static auto look_at = +look;
+  static auto process_input = +handle_keys;
   uv_poll_start(&keys, UV_READABLE,
-                [](uv_poll_t* p, int, int) { look_at(static_cast<Context*>(p->data)); });
-  // ncurses notes a change of size when it is asked for a key.
+                [](uv_poll_t* p, int, int) { process_input(static_cast<Context*>(p->data)); });
+  // ncurses reports a change of the terminal's size when a key is read.
   uv_signal_t resized{};
   uv_signal_init(runtime.loop(), &resized);
   resized.data = &context;
   uv_signal_start(
       &resized,
       [](uv_signal_t* s, int) {
-        // A new size is only asked for when the terminal is taken anew.
+        // ncurses reads the new size only when the screen is initialized again.
         endwin();
         refresh();
-        look_at(static_cast<Context*>(s->data));
+        process_input(static_cast<Context*>(s->data));
       },
       SIGWINCH);
   read();
--- a/src/tools/console.hpp
+++ b/src/tools/console.hpp
@@ -2,7 +2,8 @@
 #include "tools/screen.hpp"
 
 namespace limemast::tools {
-/// The terminal view, until the user quits. Returns the process's exit code.
+/// Shows the terminal view until the user quits. `every` is the time between two refreshes. Returns
+/// the process's exit code.
 int run_console(const std::vector<net::Endpoint>& controllers, net::Duration timeout,
                 net::Duration every);
 }  // namespace limemast::tools
--- a/src/tools/report.cpp
+++ b/src/tools/report.cpp
@@ -12,9 +12,9 @@
 namespace {
 using ctemplate::TemplateDictionary;
 
-/// All that users named is escaped by the template library, by where it stands in the page
-/// (AUTOESCAPE). Only the plots, which hold nothing that users named, go in as they are.
-constexpr const char* kPage = R"({{%AUTOESCAPE context="HTML"}}<!doctype html>
+/// The template library escapes all values according to their context in the page (AUTOESCAPE).
+/// Only the plots are inserted unescaped; they contain no names that users chose.
+constexpr const char* kPageTemplate = R"({{%AUTOESCAPE context="HTML"}}<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><meta name="viewport" content="width=device-width,initial-scale=1">
 <title>limemast: why jobs wait</title>
 <style>
@@ -56,9 +56,9 @@
 var wanted=input.value.toLowerCase();Array.prototype.forEach.call(table.querySelector("tbody").rows,function(r){r.hidden=r.textContent.toLowerCase().indexOf(wanted)<0})})});
 </script></body></html>
 )";
-constexpr const char* kName = "limemast-report.html";
+constexpr const char* kTemplateName = "limemast-report.html";
 
-void fill(TemplateDictionary& page, const char* heading, const Table& table, bool search) {
+void add_table(TemplateDictionary& page, const char* heading, const Table& table, bool search) {
   auto* section = page.AddSectionDictionary("TABLE");
   section->SetValue("HEADING", heading);
   if (table.rows.empty()) {
@@ -80,7 +80,7 @@
   }
 }
 
-std::string when(net::WallTime at) {
+std::string format_utc(net::WallTime at) {
   const auto seconds = std::chrono::system_clock::to_time_t(at);
   std::tm utc{};
   gmtime_r(&seconds, &utc);
@@ -88,16 +88,17 @@
   return {out, std::strftime(out, sizeof out, "%Y-%m-%d %H:%M:%S UTC", &utc)};
 }
 
-/// Runs gnuplot on a script and reads the picture that it wrote; empty if it cannot be run.
-std::string picture(const std::string& script) {
+/// Runs gnuplot on a script and returns the SVG that it wrote; empty if gnuplot cannot be run.
+std::string run_gnuplot(const std::string& script) {
   char path[] = "/tmp/limemast-plot-XXXXXX";
   const int fd = mkstemp(path);
   if (fd < 0) return {};
   std::string out;
   if (auto* to = popen("gnuplot 2>/dev/null", "w")) {
-    const auto whole = "set terminal svg size 900,300 dynamic font 'sans,11'\nset output '" +
-                       std::string(path) + "'\n" + script;
-    const bool written = std::fwrite(whole.data(), 1, whole.size(), to) == whole.size();
+    const auto full_script = "set terminal svg size 900,300 dynamic font 'sans,11'\nset output '" +
+                             std::string(path) + "'\n" + script;
+    const bool written =
+        std::fwrite(full_script.data(), 1, full_script.size(), to) == full_script.size();
     if (pclose(to) == 0 && written) {
       char buffer[16384];
       for (ssize_t n; (n = read(fd, buffer, sizeof buffer)) > 0;)
@@ -106,7 +107,7 @@
   }
   close(fd);
   unlink(path);
-  // What stands before the picture belongs to a file of its own, not into a page.
+  // The XML declaration before the <svg> element is valid only in a separate file.
   const auto start = out.find("<svg");
   return start == std::string::npos ? std::string() : out.substr(start);
 }
@@ -117,7 +118,7 @@
     why = "No plots: there is no history yet.";
     return {};
   }
-  constexpr std::size_t kFleet = 4;  // time, ordinary, spot, coming come first
+  constexpr std::size_t kFirstCauseColumn = 4;  // after time, ordinary, spot and coming
   std::string data = "$H << EOD\n";
   std::vector<bool> seen(s.columns.size(), false);
   const auto last = s.samples.back().at(0).get<double>();
@@ -126,10 +127,10 @@
     double sum = 0;
     for (std::size_t i = 1; i < s.columns.size(); ++i) {
       const auto n = i < row.size() ? row.at(i).get<double>() : 0;
-      if (i == kFleet) sum = 0;
+      if (i == kFirstCauseColumn) sum = 0;
       sum += n;
       seen[i] = seen[i] || n > 0;
-      data += " " + std::to_string(sum);  // stacked: each column stands on those before it
+      data += " " + std::to_string(sum);  // stacked: each value includes the columns before it
     }
     data += "\n";
   }
@@ -147,23 +148,24 @@
   std::vector<std::pair<std::string, std::string>> out;
   auto add = [&](const char* title, const char* label, const std::string& plot) {
     if (plot.empty()) return;
-    auto svg = picture(data + "set ylabel '" + label + "'\n" + plot + "\n");
+    auto svg = run_gnuplot(data + "set ylabel '" + label + "'\n" + plot + "\n");
     if (!svg.empty())
       out.emplace_back(title, std::move(svg));
     else
       why = "No plots: gnuplot could not be run.";
   };
-  add("Tasks waiting, by cause", "tasks", stacked(kFleet, s.columns.size()));
-  add("Machines", "machines", stacked(1, kFleet));
+  add("Tasks waiting, by cause", "tasks", stacked(kFirstCauseColumn, s.columns.size()));
+  add("Machines", "machines", stacked(1, kFirstCauseColumn));
   return out;
 }
 
 std::string render_report(const Snapshot& s,
                           const std::vector<std::pair<std::string, std::string>>& plots) {
-  static const bool ready = ctemplate::StringToTemplateCache(kName, kPage, ctemplate::DO_NOT_STRIP);
-  if (!ready) throw ApiError("report: its template cannot be used");
+  static const bool ready =
+      ctemplate::StringToTemplateCache(kTemplateName, kPageTemplate, ctemplate::DO_NOT_STRIP);
+  if (!ready) throw ApiError("report: the page template is invalid");
   TemplateDictionary page("report");
-  page.SetValue("TAKEN", when(s.taken));
+  page.SetValue("TAKEN", format_utc(s.taken));
   page.SetValue("FROM", s.from);
   page.SetValue("LEADER", s.leader.empty() ? "none" : s.leader);
   auto jobs = jobs_table(s);
@@ -179,30 +181,30 @@
     p->SetValue("TITLE", title);
     p->SetValue("SVG", svg);
   }
-  fill(page, "Causes", causes_table(s), false);
-  fill(page, "Jobs", jobs, true);
-  fill(page, "Drains", drains_table(s), false);
-  fill(page, "Teams", teams_table(s), false);
-  fill(page, "Controllers", controllers_table(s), false);
-  fill(page, "Machines", machines_table(s), true);
-  page.AddSectionDictionary("NOTE")->SetValue(
-      "TEXT",
-      "Place: L is the leader's line for long tasks and services, S that of short ones, by least "
-      "work left.");
+  add_table(page, "Causes", causes_table(s), false);
+  add_table(page, "Jobs", jobs, true);
+  add_table(page, "Drains", drains_table(s), false);
+  add_table(page, "Teams", teams_table(s), false);
+  add_table(page, "Controllers", controllers_table(s), false);
+  add_table(page, "Machines", machines_table(s), true);
+  page.AddSectionDictionary("NOTE")->SetValue("TEXT",
+                                              "Place: L is the leader's queue of long tasks and "
+                                              "services, S the queue of short jobs, ordered "
+                                              "by least remaining work.");
   std::string out;
-  if (!ctemplate::ExpandTemplate(kName, ctemplate::DO_NOT_STRIP, &page, &out))
-    throw ApiError("report: its template cannot be expanded");
+  if (!ctemplate::ExpandTemplate(kTemplateName, ctemplate::DO_NOT_STRIP, &page, &out))
+    throw ApiError("report: the page template cannot be expanded");
   return out;
 }
 
 void write_file(const std::string& path, const std::string& content) {
-  const auto part = path + ".part";
+  const auto temporary = path + ".part";
   auto fail = [&](const char* what) {
     const std::string why = std::strerror(errno);
-    unlink(part.c_str());
+    unlink(temporary.c_str());
     throw ApiError(std::string(what) + " " + path + ": " + why);
   };
-  const int fd = open(part.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
+  const int fd = open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
   if (fd < 0) fail("cannot write");
   for (std::size_t at = 0; at < content.size();) {
     const auto n = write(fd, content.data() + at, content.size() - at);
@@ -214,6 +216,6 @@
     at += static_cast<std::size_t>(n);
   }
   if (fsync(fd) != 0 || close(fd) != 0) fail("cannot write");
-  if (rename(part.c_str(), path.c_str()) != 0) fail("cannot put in place");
+  if (rename(temporary.c_str(), path.c_str()) != 0) fail("cannot rename the finished file to");
 }
 }  // namespace limemast::tools
--- a/src/tools/screen.cpp
+++ b/src/tools/screen.cpp
@@ -4,21 +4,22 @@
 
 namespace limemast::tools {
 namespace {
-constexpr const char* kNames[] = {"jobs", "machines", "drains", "controllers"};
-constexpr std::size_t kWidest = 24;  ///< a column but the last is no wider
-bool continues(char c) { return (static_cast<unsigned char>(c) & 0xC0) == 0x80; }
+constexpr const char* kViewNames[] = {"jobs", "machines", "drains", "controllers"};
+constexpr std::size_t kMaxFilterBytes = 60;
+constexpr std::size_t kMaxColumnWidth = 24;  ///< of all columns but the last
+bool is_continuation_byte(char c) { return (static_cast<unsigned char>(c) & 0xC0) == 0x80; }
 }  // namespace
 
 std::size_t width(const std::string& text) {
   return static_cast<std::size_t>(
-      std::count_if(text.begin(), text.end(), [](char c) { return !continues(c); }));
+      std::count_if(text.begin(), text.end(), [](char c) { return !is_continuation_byte(c); }));
 }
 
 std::string fit(const std::string& text, std::size_t columns) {
   std::string out;
   std::size_t used = 0;
   for (std::size_t i = 0; i < text.size(); ++i) {
-    if (!continues(text[i]) && used++ == columns) break;
+    if (!is_continuation_byte(text[i]) && used++ == columns) break;
     const auto c = static_cast<unsigned char>(text[i]);
     out += c < 32 || c == 127 ? '?' : text[i];
   }
@@ -28,11 +29,11 @@
 
 void Screen::show(std::shared_ptr<const Snapshot> snapshot, net::Time now) {
   snapshot_ = std::move(snapshot);
-  read_ = now;
+  read_at_ = now;
   error_.clear();
 }
 
-void Screen::failed(const std::string& why) { error_ = why; }
+void Screen::set_error(const std::string& why) { error_ = why; }
 
 Table Screen::table() const {
   if (!snapshot_) return {};
@@ -57,11 +58,12 @@
         typing_ = false, state.filter.clear();
         break;
       case Key::Erase:
-        while (!state.filter.empty() && continues(state.filter.back())) state.filter.pop_back();
+        while (!state.filter.empty() && is_continuation_byte(state.filter.back()))
+          state.filter.pop_back();
         if (!state.filter.empty()) state.filter.pop_back();
         break;
       default:
-        if (typed != 0 && state.filter.size() < 60) state.filter += typed;
+        if (typed != 0 && state.filter.size() < kMaxFilterBytes) state.filter += typed;
     }
     state.cursor = state.top = 0;
     state.selected.clear();
@@ -73,7 +75,7 @@
     state.cursor = std::min(to, last);
     state.selected = t.rows.empty() ? "" : t.rows[state.cursor].front().text;
   };
-  auto turn = [&](std::size_t view) {
+  auto switch_view = [&](std::size_t view) {
     view_ = view;
     detail_ = false;
   };
@@ -97,19 +99,19 @@
       move(last);
       break;
     case Key::NextView:
-      turn((view_ + 1) % kViews);
+      switch_view((view_ + 1) % kViews);
       break;
     case Key::View1:
-      turn(0);
+      switch_view(0);
       break;
     case Key::View2:
-      turn(1);
+      switch_view(1);
       break;
     case Key::View3:
-      turn(2);
+      switch_view(2);
       break;
     case Key::View4:
-      turn(3);
+      switch_view(3);
       break;
     case Key::NextSort: {
       const auto next = state.sort ? *state.sort + 1 : 0;
@@ -131,7 +133,7 @@
       detail_ = false;
       break;
     case Key::Quit:
-      quits_ = true;
+      quit_requested_ = true;
       break;
     case Key::Erase:
     case Key::Other:
@@ -154,7 +156,7 @@
   };
   auto& state = states_[view_];
   auto t = table();
-  // The row under the cursor stays under it while others come and go.
+  // The cursor stays on its row when the position of that row changes.
   if (!state.selected.empty()) {
     const auto it = std::find_if(t.rows.begin(), t.rows.end(),
                                  [&](const auto& r) { return r.front().text == state.selected; });
@@ -164,41 +166,41 @@
 
   std::string title = "limemast ";
   for (std::size_t i = 0; i < kViews; ++i)
-    title += std::string(i == view_ ? " [" : "  ") + std::to_string(i + 1) + " " + kNames[i] +
+    title += std::string(i == view_ ? " [" : "  ") + std::to_string(i + 1) + " " + kViewNames[i] +
              (i == view_ ? "]" : " ");
   line(title, Look::Title);
   if (!snapshot_) {
     line(error_.empty() ? "reading..." : error_, error_.empty() ? Look::Plain : Look::Warning);
   } else {
-    const auto age = net::to_seconds(now - read_).count();
-    std::string status = std::to_string(t.rows.size()) + " " + kNames[view_] + ", read " +
+    const auto age = net::to_seconds(now - read_at_).count();
+    std::string status = std::to_string(t.rows.size()) + " " + kViewNames[view_] + ", read " +
                          span(age) + " ago from " + snapshot_->from;
     if (!state.filter.empty() || typing_)
       status += ", with \"" + state.filter + (typing_ ? "_" : "") + "\"";
     if (state.sort)
-      status += ", by " + t.columns[*state.sort] + (state.descending ? " (down)" : "");
+      status += ", sorted by " + t.columns[*state.sort] + (state.descending ? " (descending)" : "");
     line(status);
-    if (!error_.empty()) line("Not read anew: " + error_, Look::Warning);
+    if (!error_.empty()) line("Refresh failed: " + error_, Look::Warning);
     for (const auto& m : snapshot_->missing) line("Part missing: " + m, Look::Warning);
   }
-  const std::size_t foot = 1;
+  const std::size_t footer_rows = 1;
   if (detail_ && !t.rows.empty()) {
     for (const auto& d : details(t)) line(d);
-  } else if (snapshot_ && out.size() + foot + 1 < rows) {
-    // As wide as needed, none but the last wider than is good; the last takes what is left.
-    std::vector<std::size_t> wide;
+  } else if (snapshot_ && out.size() + footer_rows + 1 < rows) {
+    // Each column is as wide as its content, up to kMaxColumnWidth. The last takes the rest.
+    std::vector<std::size_t> widths;
     for (std::size_t i = 0; i < t.columns.size(); ++i) {
       auto w = width(t.columns[i]);
       for (const auto& r : t.rows) w = std::max(w, width(r[i].text));
-      wide.push_back(i + 1 < t.columns.size() ? std::min(w, kWidest) : columns);
+      widths.push_back(i + 1 < t.columns.size() ? std::min(w, kMaxColumnWidth) : columns);
     }
     auto join = [&](auto text) {
       std::string s;
-      for (std::size_t i = 0; i < wide.size(); ++i) s += fit(text(i), wide[i]) + " ";
+      for (std::size_t i = 0; i < widths.size(); ++i) s += fit(text(i), widths[i]) + " ";
       return s;
     };
     line(join([&](std::size_t i) { return t.columns[i]; }), Look::Header);
-    page_ = rows - out.size() - foot;
+    page_ = rows - out.size() - footer_rows;
     if (state.cursor < state.top) state.top = state.cursor;
     if (state.cursor >= state.top + page_) state.top = state.cursor - page_ + 1;
     if (t.rows.size() <= page_) state.top = 0;
@@ -206,9 +208,9 @@
       line(join([&](std::size_t c) { return t.rows[i][c].text; }),
            i == state.cursor ? Look::Selected : Look::Plain);
   }
-  while (out.size() + foot < rows) line("");
-  out.resize(std::min(out.size(), rows > foot ? rows - foot : 0));
-  line(typing_ ? "type to search, Enter keeps it, Esc drops it"
+  while (out.size() + footer_rows < rows) line("");
+  out.resize(std::min(out.size(), rows > footer_rows ? rows - footer_rows : 0));
+  line(typing_ ? "type to search, Enter keeps the filter, Esc clears it"
                : "1-4 Tab view  j/k move  s sort  r reverse  / search  Enter detail  q quit",
        Look::Title);
   out.resize(std::min(out.size(), rows));
--- a/src/tools/screen.hpp
+++ b/src/tools/screen.hpp
@@ -4,8 +4,8 @@
 #include "tools/tables.hpp"
 
 namespace limemast::tools {
-/// What the console shows and how keys change it; knows nothing of terminals, so that tests can
-/// drive it.
+/// State of the console: renders the views as lines and handles keys. It is independent of the
+/// terminal, so that tests can drive it.
 class Screen {
  public:
   enum class Key {
@@ -35,11 +35,11 @@
   };
 
   void show(std::shared_ptr<const Snapshot> snapshot, net::Time now);
-  /// The last attempt to read failed; what was read before stays, with its age.
-  void failed(const std::string& why);
-  /// `typed`: the character of a key that is none of the above, while a search is typed.
+  /// Reports that the last refresh failed. The previous snapshot stays on the screen with its age.
+  void set_error(const std::string& why);
+  /// `typed` is the character of a Key::Other while the user types a search, else 0.
   void press(Key key, char typed = 0);
-  bool quits() const { return quits_; }
+  bool quit_requested() const { return quit_requested_; }
   bool typing() const { return typing_; }
 
   /// Exactly `rows` lines of at most `columns` characters each.
@@ -50,7 +50,7 @@
   Table table() const;
   std::vector<std::string> details(const Table& table) const;
   std::shared_ptr<const Snapshot> snapshot_;
-  net::Time read_{};
+  net::Time read_at_{};
   std::string error_;
   std::size_t view_ = 0;
   struct State {
@@ -59,17 +59,18 @@
     std::optional<std::size_t> sort;
     bool descending = false;
     std::string filter;
-    std::string
-        selected;  ///< the first cell of the row under the cursor: it stays there when rows move
+    /// First cell of the row under the cursor, by which that row is found again after a refresh.
+    std::string selected;
   };
   std::array<State, kViews> states_;
   bool detail_ = false;
   bool typing_ = false;
-  bool quits_ = false;
+  bool quit_requested_ = false;
   std::size_t page_ = 10;  ///< rows shown by the last rendering
 };
-/// How many terminal columns a UTF-8 text takes, one for each character.
+/// Number of characters of a UTF-8 text; each is assumed to take one terminal column.
 std::size_t width(const std::string& text);
-/// Cut or filled up to exactly `columns` characters; control characters become '?'.
+/// Cuts the text or pads it with spaces to exactly `columns` characters. Control characters become
+/// '?'.
 std::string fit(const std::string& text, std::size_t columns);
 }  // namespace limemast::tools
--- a/src/tools/snapshot.cpp
+++ b/src/tools/snapshot.cpp
@@ -6,7 +6,8 @@
 namespace limemast::tools {
 namespace {
 using wire::json;
-constexpr std::size_t kMost = 1'000'000;  ///< entries: more is no deployment but a fault
+constexpr std::size_t kMaxEntries =
+    1'000'000;  ///< entries of a list; more are treated as an endless list
 
 struct Fetcher : std::enable_shared_from_this<Fetcher> {
   Api& api;
@@ -15,11 +16,11 @@
   std::function<void(std::shared_ptr<Snapshot>, std::string)> done;
   std::shared_ptr<Snapshot> out = std::make_shared<Snapshot>();
   std::map<std::string, std::pair<double, std::string>>
-      missing;  ///< controller -> age of what is shown of it, and why
+      missing;  ///< controller -> age in seconds of its last part (-1: none), and reason
 
   Fetcher(Api& a, FetchOptions o) : api(a), options(o) {}
 
-  /// Reads one view and hands its body on; whatever is wrong with it ends the whole.
+  /// Requests one view and passes its body to `take`. Any error ends the whole fetch.
   void get(const std::string& path, std::function<void(const json&)> take) {
     api.call(
         "GET", path, "", [self = shared_from_this(), path, take = std::move(take)](Answer answer) {
@@ -28,47 +29,48 @@
             self->out->from = answer.from;
             for (const auto& part : body.value("parts", json::array()))
               if (!part.at("answered").get<bool>()) {
-                // Views are read one after the other: the oldest part of them is what counts.
+                // A controller may be missing in several views; the oldest of its parts is kept.
                 const auto age = part.find("ageS");
-                auto& known =
+                auto& last_part =
                     self->missing.try_emplace(part.at("controller").get<std::string>(), -1, "")
                         .first->second;
-                known = std::max(known,
-                                 {age != part.end() && age->is_number() ? age->get<double>() : -1,
-                                  part.value("why", "did not answer")});
+                last_part = std::max(
+                    last_part, {age != part.end() && age->is_number() ? age->get<double>() : -1,
+                                part.value("why", "did not answer")});
               }
             take(body);
           } catch (const ApiError& e) {
             self->done(nullptr, e.what());
           } catch (const json::exception&) {
-            self->done(nullptr, path + ": an answer of a form that this version does not know");
+            self->done(nullptr, path + ": the answer has a format that this version does not know");
           }
         });
   }
   static void append(std::vector<json>& to, const json& list) {
     for (const auto& e : list) to.push_back(e);
   }
-  void pages(const std::string& what, std::vector<json> Snapshot::*into, const std::string& from,
-             std::function<void()> then) {
-    get(what + "?limit=" + std::to_string(options.page) + (from.empty() ? "" : "&from=" + from),
-        [self = shared_from_this(), what, into, from, then = std::move(then)](const json& body) {
+  void fetch_pages(const std::string& what, std::vector<json> Snapshot::*into,
+                   const std::string& after, std::function<void()> then) {
+    get(what + "?limit=" + std::to_string(options.page) + (after.empty() ? "" : "&from=" + after),
+        [self = shared_from_this(), what, into, after, then = std::move(then)](const json& body) {
           auto& list = (*self->out).*into;
           append(list, body.at(what));
-          if (what == "machines" && from.empty()) append(self->out->coming, body.at("coming"));
+          if (what == "machines" && after.empty()) append(self->out->coming, body.at("coming"));
           if (self->progress) self->progress(std::to_string(list.size()) + " " + what);
           const auto& next = body.at("next");
           if (next.is_null()) return then();
-          // Pages follow each other by name: whatever goes back would be read for ever.
+          // Pages are ordered by name. A page that does not advance would cause an endless loop.
           const auto last = next.get<std::string>();
-          if (last <= from || list.size() > kMost) throw ApiError(what + ": pages that do not end");
-          self->pages(what, into, last, then);
+          if (last <= after || list.size() > kMaxEntries)
+            throw ApiError(what + ": the list of pages does not end");
+          self->fetch_pages(what, into, last, then);
         });
   }
 
   void run() {
     auto self = shared_from_this();
-    pages("jobs", &Snapshot::jobs, "", [self] {
-      self->pages("machines", &Snapshot::machines, "", [self] {
+    fetch_pages("jobs", &Snapshot::jobs, "", [self] {
+      self->fetch_pages("machines", &Snapshot::machines, "", [self] {
         self->get("teams", [self](const json& body) {
           append(self->out->teams, body.at("teams"));
           self->get("controllers", [self](const json& body) {
@@ -89,12 +91,12 @@
     });
   }
   void finish() {
-    for (const auto& [controller, known] : missing)
-      out->missing.push_back(controller + " " + known.second +
-                             (known.first >= 0
-                                  ? ", what is shown of it is " +
-                                        std::to_string(static_cast<long>(known.first)) + " s old"
-                                  : ""));
+    for (const auto& [controller, last_part] : missing)
+      out->missing.push_back(
+          controller + " " + last_part.second +
+          (last_part.first >= 0 ? ", what is shown of it is " +
+                                      std::to_string(static_cast<long>(last_part.first)) + " s old"
+                                : ""));
     done(out, "");
   }
 };
--- a/src/tools/tables.cpp
+++ b/src/tools/tables.cpp
@@ -90,8 +90,8 @@
 
 Table machines_table(const Snapshot& s) {
   Table t{"machines",
-          {"machine", "type", "zone", "kind", "state", "tasks", "free CPUs", "free GB", "heard by",
-           "heard"},
+          {"machine", "type", "zone", "kind", "state", "tasks", "free CPUs", "free GB",
+           "controller", "heartbeat age"},
           {}};
   for (const auto& m : s.machines)
     t.rows.push_back({cell(m, "name"),
@@ -109,7 +109,7 @@
 
 Table drains_table(const Snapshot& s) {
   Table t{"drains",
-          {"drain", "age", "machines", "empty", "tasks left", "state", "held by", "note"},
+          {"drain", "age", "machines", "empty", "tasks left", "state", "held back by", "note"},
           {}};
   for (const auto& d : s.drains) {
     std::string held;
@@ -124,7 +124,7 @@
                       cell(d, "machines"),
                       cell(d, "empty"),
                       cell(d, "tasks"),
-                      {!known                  ? "not looked at yet"
+                      {!known                  ? "not evaluated yet"
                        : complete->get<bool>() ? "complete"
                                                : "under way",
                        std::nullopt},
@@ -136,7 +136,7 @@
 
 Table controllers_table(const Snapshot& s) {
   Table t{"controllers",
-          {"controller", "zone", "role", "generation", "jobs", "state service", "loop late",
+          {"controller", "zone", "role", "generation", "jobs", "state service", "loop delay",
            "answered"},
           {}};
   for (const auto& c : s.controllers) {
--- a/src/tools/tables.hpp
+++ b/src/tools/tables.hpp
@@ -4,9 +4,9 @@
 namespace limemast::tools {
 struct Cell {
   std::string text;
-  std::optional<double> number;  ///< what it is sorted by; texts without one are sorted as they are
+  std::optional<double> number;  ///< sort key; cells without a number are sorted by their text
 };
-/// What console and report show alike.
+/// A table that both the console and the report show.
 struct Table {
   std::string name;
   std::vector<std::string> columns;
@@ -17,14 +17,14 @@
 Table drains_table(const Snapshot& s);
 Table controllers_table(const Snapshot& s);
 Table teams_table(const Snapshot& s);
-/// Waiting jobs and tasks by cause, the most tasks first.
+/// Pending jobs and tasks by cause, in descending order of tasks.
 Table causes_table(const Snapshot& s);
 
-/// Stable; rows without a number come last, whichever way.
+/// Sorts stably. In a column of numbers, rows without a number come last in both directions.
 void sort_rows(Table& table, std::size_t column, bool descending);
-/// Keeps rows of which some cell holds the text, small and capital letters alike.
+/// Keeps the rows in which some cell contains the text, ignoring the case of ASCII letters.
 void filter_rows(Table& table, const std::string& text);
-/// 75 -> "1m15s", 4000 -> "1h06m".
+/// Formats a duration: 75 -> "1m15s", 4000 -> "1h06m".
 std::string span(double seconds);
 /// What a job waits for, as a sentence: "machines booting, first in 20s".
 std::string reason(const wire::json& job);
--- a/tests/app/settings_test.cpp
+++ b/tests/app/settings_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 using wire::json;
 
-json example() {
+json example_settings() {
   return json::parse(
       R"({"label":"c-0","domain":"a","serve_on":"10.0.0.1:80","back":"10.0.0.1:81","future":{"x":1},
     "others":[{"label":"c-1","domain":"b","endpoint":"10.0.0.2:81"}],
@@ -21,7 +21,7 @@
       "cloud":{"rps":3.0,"list_lag_s":8.0},"limits":{"cpu":0.1,"mem_mb":72.0,"max_connections":1500},"skew_ms":1000.0}})");
 }
 
-std::string complaint(const json& settings) {
+std::string settings_error(const json& settings) {
   try {
     parse_settings(settings.dump());
   } catch (const BadSettings& e) {
@@ -30,15 +30,15 @@
   return {};
 }
 
-TEST(Settings, AreReadAndUnknownFieldsIgnored) {
-  const auto s = parse_settings(example().dump());
+TEST(Settings, ReadsKnownFieldsAndIgnoresUnknownOnes) {
+  const auto s = parse_settings(example_settings().dump());
   EXPECT_EQ(s.others.at("c-1"), "10.0.0.2:81");
   EXPECT_DOUBLE_EQ(s.teams.at("t").cpus_max, 8);
   EXPECT_EQ(s.skew, wire::Seconds(1));
   EXPECT_EQ(s.objectives.at(0).workload, "w");
 }
 
-TEST(Settings, EachBadFieldIsNamed) {
+TEST(Settings, ErrorNamesTheInvalidField) {
   const std::pair<const char*, json> bad[] = {{"/label", 3},
                                               {"/serve_on", "nowhere"},
                                               {"/others", "c-1"},
@@ -51,18 +51,18 @@
                                               {"/settings/cloud/rps", "fast"},
                                               {"/settings/limits/max_connections", -1}};
   for (const auto& [path, value] : bad) {
-    auto settings = example();
+    auto settings = example_settings();
     settings[json::json_pointer(path)] = value;
     const std::string field = json::json_pointer(path).back();
-    EXPECT_NE(complaint(settings).find(field), std::string::npos)
-        << path << ": " << complaint(settings);
+    EXPECT_NE(settings_error(settings).find(field), std::string::npos)
+        << path << ": " << settings_error(settings);
   }
   EXPECT_THROW(parse_settings("{"), BadSettings);
   EXPECT_THROW(parse_settings("[]"), BadSettings);
 }
 
-TEST(Tuning, IsCheckedAndMisspeltNamesAreErrors) {
-  auto s = parse_settings(example().dump());
+TEST(Tuning, RejectsInvalidValuesAndUnknownNames) {
+  auto s = parse_settings(example_settings().dump());
   apply_tuning(s, "short_share = 0.25\nlong_threshold_s = 90\nmin_probes = 6\n");
   EXPECT_DOUBLE_EQ(s.tuning.short_share, 0.25);
   EXPECT_EQ(s.tuning.long_threshold, wire::Seconds(90));
@@ -72,7 +72,7 @@
     EXPECT_THROW(apply_tuning(s, bad), BadSettings) << bad;
 }
 
-std::string complaint_of(const std::string& toml) {
+std::string tuning_error(const std::string& toml) {
   wire::Settings s;
   try {
     apply_tuning(s, toml);
@@ -82,7 +82,7 @@
   return {};
 }
 
-TEST(OperatorsFile, SectionsAreCheckedAndTheFieldIsNamed) {
+TEST(OperatorsFile, ReadsSectionsAndNamesInvalidFields) {
   wire::Settings s;
   apply_tuning(s,
                "overflow = 0.5\n[scheduling]\nmin_probes = 7\n[operator]\nenabled = true\npage = "
@@ -93,7 +93,7 @@
   EXPECT_EQ(s.operators.page, 50u);
   EXPECT_EQ(s.drains.patience, wire::Seconds(60));
   EXPECT_TRUE(s.json_logs);
-  EXPECT_FALSE(wire::Settings().operators.enabled) << "off unless switched on";
+  EXPECT_FALSE(wire::Settings().operators.enabled) << "disabled by default";
   const std::pair<const char*, const char*> bad[] = {
       {"[operator]\nenabled = 1", "operator.enabled: must be true or false"},
       {"[operator]\npage = 0", "operator.page: must be a number from 1 to 1000"},
@@ -104,12 +104,12 @@
       {"[planets]\nx = 3", "planets: unknown section"},
       {"enabled = true", "enabled: unknown setting"},
       {"[scheduling]\nshort_share = 2", "scheduling.short_share: must be a number from 0 to 1"}};
-  for (const auto& [toml, why] : bad)
-    EXPECT_TRUE(complaint_of(toml).starts_with(why)) << toml << ": " << complaint_of(toml);
+  for (const auto& [toml, reason] : bad)
+    EXPECT_TRUE(tuning_error(toml).starts_with(reason)) << toml << ": " << tuning_error(toml);
 }
 
-// What is explained is a file that sets what it explains.
-TEST(OperatorsFile, ExplainedItIsTakenAsItIs) {
+// The output of `settings --explain` is a valid file that sets the same values.
+TEST(OperatorsFile, ExplainedSettingsCanBeReadBack) {
   wire::Settings s;
   apply_tuning(s,
                "[scheduling]\nshort_share = 0.21\n[operator]\nenabled = true\nhistory_kept = "
@@ -120,13 +120,13 @@
     EXPECT_DOUBLE_EQ(o.get(again), o.get(s)) << o.section << "." << o.name;
   EXPECT_EQ(explain(again), explain(s));
   for (const auto& o : options()) {
-    EXPECT_NE(explain(s).find(o.meaning), std::string::npos) << o.name;
-    EXPECT_GE(o.get(wire::Settings()), o.least) << o.name;
-    EXPECT_LE(o.get(wire::Settings()), o.most) << o.name;
+    EXPECT_NE(explain(s).find(o.description), std::string::npos) << o.name;
+    EXPECT_GE(o.get(wire::Settings()), o.min) << o.name;
+    EXPECT_LE(o.get(wire::Settings()), o.max) << o.name;
   }
 }
 
-TEST(JsonLogs, EachLineIsOneObjectWithTheSameFields) {
+TEST(JsonLogs, EachLineIsOneObjectWithAllFields) {
   const auto line =
       json_line(1700000000123, "info", "drover-0", ids::EpochNumber(415), "job \"x\"\nfailed \xff");
   EXPECT_EQ(std::count(line.begin(), line.end(), '\n'), 1);
--- a/tests/compat/commands_test.cpp
+++ b/tests/compat/commands_test.cpp
@@ -1,21 +1,22 @@
-// The program's help, its settings as explained, and its errors with their exit codes.
+// Compares help texts, `settings --explain` and error messages with recorded outputs and exit
+// codes.
 #include <gtest/gtest.h>
 
 #include "compat/golden.hpp"
 
 namespace limemast::compat {
 namespace {
-TEST(RecordedCommands, AnswerAsTheyDid) {
+TEST(RecordedCommands, MatchRecordedOutputs) {
   std::size_t count = 0;
   for (const auto& line : read_lines(std::filesystem::path(COMPAT_GOLDEN) / kCommandsFile)) {
-    const auto before = command_case(line);
-    auto now = before;
-    run_command(LIMEMAST_BINARY, now);
+    const auto recorded = command_case(line);
+    auto actual = recorded;
+    run_command(LIMEMAST_BINARY, actual);
     const auto what =
-        before.arguments + (before.files.empty() ? "" : "\n" + before.files[0].second);
-    EXPECT_EQ(now.code, before.code) << what;
-    EXPECT_EQ(now.out, before.out) << what;
-    EXPECT_EQ(now.error, before.error) << what;
+        recorded.arguments + (recorded.files.empty() ? "" : "\n" + recorded.files[0].second);
+    EXPECT_EQ(actual.code, recorded.code) << what;
+    EXPECT_EQ(actual.out, recorded.out) << what;
+    EXPECT_EQ(actual.error, recorded.error) << what;
     ++count;
   }
   EXPECT_GT(count, 50u);
--- a/tests/tools/loopback_test.cpp
+++ b/tests/tools/loopback_test.cpp
@@ -1,5 +1,5 @@
-// The tools as users run them: the program itself, against a server on loopback that answers as the
-// test says, or badly.
+// Runs the tools as a user does: the limemast binary against a loopback server whose answers, valid
+// or invalid, the test defines.
 #include <atomic>
 #include <csignal>
 #include <fstream>
@@ -22,8 +22,8 @@
 namespace {
 using nlohmann::json;
 
-/// Serves one request a connection; `answer` gets the request's first line and gives all bytes that
-/// are sent back.
+/// Serves one request per connection. `answer` is called with the request line and returns all
+/// bytes of the response.
 class Server {
  public:
   using Answer = std::function<std::string(const std::string& request)>;
@@ -44,8 +44,8 @@
     thread_.join();
     close(listener_);
   }
-  /// As a controller that is gone: connections are closed unanswered.
-  void lose() { lost_ = true; }
+  /// Simulates a failed controller: connections are closed without an answer.
+  void fail() { failed_ = true; }
   std::string address;
 
  private:
@@ -60,7 +60,7 @@
       for (ssize_t n; request.find("\r\n\r\n") == std::string::npos &&
                       (n = read(c, buffer, sizeof buffer)) > 0;)
         request.append(buffer, static_cast<std::size_t>(n));
-      if (!lost_) {
+      if (!failed_) {
         const auto out = answer_(request.substr(0, request.find("\r\n")));
         for (std::size_t at = 0; at < out.size();) {
           const auto n = send(c, out.data() + at, out.size() - at, MSG_NOSIGNAL);
@@ -73,21 +73,21 @@
   }
   Answer answer_;
   int listener_ = -1;
-  std::atomic<bool> stop_{false}, lost_{false};
+  std::atomic<bool> stop_{false}, failed_{false};
   std::thread thread_;
 };
 
-std::string reply(const std::string& body, int status = 200) {
+std::string http_response(const std::string& body, int status = 200) {
   return "HTTP/1.1 " + std::to_string(status) +
          " X\r\nConnection: close\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
          body;
 }
 
-/// A deployment with so many jobs; names of teams are what the test gives.
+/// The response of a deployment with this many jobs, all of `team`.
 std::string deployment(const std::string& request, std::size_t jobs,
                        const std::string& team = "red") {
   const auto at = request.find("/operator/v1/");
-  if (at == std::string::npos) return reply(R"({"error":"unknown path"})", 404);
+  if (at == std::string::npos) return http_response(R"({"error":"unknown path"})", 404);
   auto path = request.substr(at + 13);
   path = path.substr(0, path.find(' '));
   const json parts = json::array({{{"controller", "drover-0"}, {"answered", true}},
@@ -135,19 +135,19 @@
   } else if (path == "history") {
     out.update({{"samples", json::array()}, {"columns", {"atMs", "ordinary", "spot", "coming"}}});
   } else {
-    return reply(R"({"error":"unknown path"})", 404);
+    return http_response(R"({"error":"unknown path"})", 404);
   }
-  return reply(out.dump());
+  return http_response(out.dump());
 }
 
-struct Ran {
+struct CommandResult {
   int code = -1;
   std::string out, error;
 };
-Ran run(const std::string& arguments) {
+CommandResult run(const std::string& arguments) {
   char errors[] = "/tmp/limemast-test-XXXXXX";
   close(mkstemp(errors));
-  Ran r;
+  CommandResult r;
   auto* from =
       popen((std::string(LIMEMAST_BINARY) + " " + arguments + " 2>" + errors).c_str(), "r");
   char buffer[4096];
@@ -163,7 +163,7 @@
   struct stat s {};
   return stat(path.c_str(), &s) == 0;
 }
-std::string content(const std::string& path) {
+std::string read_file(const std::string& path) {
   std::ifstream in(path);
   return {std::istreambuf_iterator<char>(in), {}};
 }
@@ -180,10 +180,10 @@
     unlink((file_ + ".part").c_str());
     rmdir(folder_.c_str());
   }
-  Ran report(const std::string& to, const std::string& more = "") {
+  CommandResult report(const std::string& to, const std::string& more = "") {
     return run("report --timeout 5 --to " + to + " --out " + file_ + " " + more);
   }
-  void expect_failed(const Ran& r, const std::string& why) {
+  void expect_failed(const CommandResult& r, const std::string& why) {
     EXPECT_EQ(r.code, 1);
     EXPECT_NE(r.error.find(why), std::string::npos) << r.error;
     EXPECT_EQ(std::count(r.error.begin(), r.error.end(), '\n'), 1) << r.error;
@@ -198,7 +198,7 @@
   Server server([&](const std::string& r) { return deployment(r, 10'000, team); });
   const auto r = report(server.address);
   EXPECT_EQ(r.code, 0) << r.error;
-  const auto page = content(file_);
+  const auto page = read_file(file_);
   EXPECT_EQ(page.find("<script>alert"), std::string::npos);
   EXPECT_NE(page.find("&lt;script&gt;alert(&quot;x&quot;)&lt;/script&gt;&amp;&#39;{{EVIL}}é"),
             std::string::npos);
@@ -210,7 +210,7 @@
   EXPECT_NE(page.find("wk-009999"), std::string::npos);
   EXPECT_NE(page.find("Part missing: drover-1 did not answer in time"), std::string::npos);
   EXPECT_NE(r.error.find("part missing: drover-1"), std::string::npos);
-  EXPECT_EQ(page.find("http"), std::string::npos) << "the page needs no network";
+  EXPECT_EQ(page.find("http"), std::string::npos) << "the page loads nothing over the network";
 }
 
 TEST_F(ReportTool, JsonForScripts) {
@@ -223,7 +223,7 @@
   EXPECT_EQ(body.at("missing").size(), 1u);
 }
 
-TEST_F(ReportTool, AnAnswerCutOffInItsMiddle) {
+TEST_F(ReportTool, TruncatedAnswer) {
   Server server([](const std::string& r) {
     auto whole = deployment(r, 300);
     return r.find("from=") == std::string::npos ? whole : whole.substr(0, whole.size() / 2);
@@ -232,43 +232,46 @@
                 "jobs?limit=200&from=wk-000199: no controller answered, or the answer was cut off");
 }
 
-TEST_F(ReportTool, WrongBytes) {
-  Server not_json([](const std::string&) { return reply("\xff\xfe nonsense"); });
-  expect_failed(report(not_json.address), "sent bytes that are no JSON object");
-  Server other_form([](const std::string&) { return reply(R"({"jobs":7,"next":[1]})"); });
-  expect_failed(report(other_form.address), "an answer of a form that this version does not know");
+TEST_F(ReportTool, InvalidAnswers) {
+  Server not_json([](const std::string&) { return http_response("\xff\xfe nonsense"); });
+  expect_failed(report(not_json.address), "sent an answer that is not a JSON object");
+  Server other_form([](const std::string&) { return http_response(R"({"jobs":7,"next":[1]})"); });
+  expect_failed(report(other_form.address),
+                "the answer has a format that this version does not know");
   Server wrong_types([](const std::string& r) {
     if (r.find("/jobs") == std::string::npos) return deployment(r, 0);
-    return reply(R"({"jobs":[{"uid":"wk-000001","waiting":"many"}],"next":null})");
+    return http_response(R"({"jobs":[{"uid":"wk-000001","waiting":"many"}],"next":null})");
   });
-  expect_failed(report(wrong_types.address), "an answer of a form that this version does not know");
+  expect_failed(report(wrong_types.address),
+                "the answer has a format that this version does not know");
   Server no_http([](const std::string&) { return std::string("SSH-2.0-x\r\n"); });
   expect_failed(report(no_http.address), "no controller answered");
-  Server endless([](const std::string&) { return reply(R"({"jobs":[],"next":"wk-000001"})"); });
-  expect_failed(report(endless.address), "pages that do not end");
+  Server endless(
+      [](const std::string&) { return http_response(R"({"jobs":[],"next":"wk-000001"})"); });
+  expect_failed(report(endless.address), "the list of pages does not end");
   Server refuses([](const std::string&) {
-    return reply(R"({"error":"the operators' interface is switched off"})", 404);
+    return http_response(R"({"error":"the operators' interface is switched off"})", 404);
   });
   expect_failed(report(refuses.address), "answered 404: the operators' interface is switched off");
 }
 
-TEST_F(ReportTool, AFileThatCannotBeWritten) {
+TEST_F(ReportTool, UnwritableFile) {
   Server server([](const std::string& r) { return deployment(r, 3); });
   const auto r = run("report --to " + server.address + " --out " + folder_ + "/none/report.html");
   EXPECT_EQ(r.code, 1);
   EXPECT_NE(r.error.find("cannot write"), std::string::npos);
 }
 
-TEST_F(ReportTool, TheNextControllerIsAsked) {
+TEST_F(ReportTool, FailsOverToTheNextController) {
   Server lost([](const std::string&) { return std::string(); });
-  Server busy([](const std::string&) { return reply(R"({"error":"busy"})", 503); });
+  Server busy([](const std::string&) { return http_response(R"({"error":"busy"})", 503); });
   Server good([](const std::string& r) { return deployment(r, 3); });
   const auto r = report(lost.address + "," + busy.address + "," + good.address);
   EXPECT_EQ(r.code, 0) << r.error;
-  EXPECT_NE(content(file_).find("wk-000002"), std::string::npos);
+  EXPECT_NE(read_file(file_).find("wk-000002"), std::string::npos);
 }
 
-TEST(Usage, OneLineNamesWhatIsWrong) {
+TEST(Usage, ErrorIsOneLineThatNamesTheArgument) {
   for (const auto& [arguments, named] :
        std::vector<std::pair<std::string, std::string>>{{"", "--config"},
                                                         {"report --to nowhere", "--to"},
@@ -287,7 +290,7 @@
   EXPECT_EQ(run("console --to 127.0.0.1:1 </dev/null").code, 1);
 }
 
-/// The console in a terminal of its own.
+/// Runs the console in a pseudo-terminal.
 class Console {
  public:
   Console(const std::string& to, const char* terminal, unsigned short rows,
@@ -316,10 +319,10 @@
     winsize size{rows, columns, 0, 0};
     EXPECT_EQ(ioctl(fd_, TIOCSWINSZ, &size), 0);
   }
-  /// Waits until the terminal has been sent this text; what came before counts no more then.
-  bool shows(const std::string& text) {
+  /// Waits until the console has written this text, and discards the output up to it.
+  bool waits_for_output(const std::string& text) {
     for (int i = 0; i < 400; ++i) {
-      // The terminal is sent only what changes: now and then all of it is asked for.
+      // ncurses writes only changes, so Ctrl-L requests a full redraw from time to time.
       if (i % 10 == 9) type("\x0c");
       if (const auto at = seen_.find(text); at != std::string::npos) {
         seen_.erase(0, at + text.size());
@@ -355,27 +358,28 @@
   std::string seen_;
 };
 
-TEST(ConsoleTool, KeysResizeAndALostController) {
+TEST(ConsoleTool, HandlesKeysResizeAndFailover) {
   for (const char* terminal : {"xterm-256color", "vt100"}) {
     Server first([](const std::string& r) { return deployment(r, 300); });
     Server second([](const std::string& r) { return deployment(r, 301); });
     Console console(first.address + "," + second.address, terminal, 24, 80);
-    EXPECT_TRUE(console.shows("300 jobs")) << terminal;
-    EXPECT_TRUE(console.shows("Part missing: drover-1"));
-    EXPECT_TRUE(console.shows("wk-000000"));
+    EXPECT_TRUE(console.waits_for_output("300 jobs")) << terminal;
+    EXPECT_TRUE(console.waits_for_output("Part missing: drover-1"));
+    EXPECT_TRUE(console.waits_for_output("wk-000000"));
     console.type("/wk-0002");
-    EXPECT_TRUE(console.shows("wk-000200")) << terminal;
+    EXPECT_TRUE(console.waits_for_output("wk-000200")) << terminal;
     console.type("\r");
     console.type("\r");
-    EXPECT_TRUE(console.shows("machines it may use are full")) << terminal;
+    EXPECT_TRUE(console.waits_for_output("machines it may use are full")) << terminal;
     console.type("\x1b");
     console.resize(40, 150);
-    EXPECT_TRUE(console.shows("wk-000220")) << "a higher screen shows more rows, " << terminal;
-    first.lose();
-    EXPECT_TRUE(console.shows(second.address.substr(10)))
-        << "it goes on with the other, " << terminal;
-    second.lose();
-    EXPECT_TRUE(console.shows("Not read anew")) << terminal;
+    EXPECT_TRUE(console.waits_for_output("wk-000220"))
+        << "a taller screen shows more rows, " << terminal;
+    first.fail();
+    EXPECT_TRUE(console.waits_for_output(second.address.substr(10)))
+        << "the console fails over to the other controller, " << terminal;
+    second.fail();
+    EXPECT_TRUE(console.waits_for_output("Refresh failed")) << terminal;
     console.type("q");
     EXPECT_EQ(console.wait(), 0) << terminal;
   }
--- a/tests/tools/screen_test.cpp
+++ b/tests/tools/screen_test.cpp
@@ -8,7 +8,7 @@
 using Key = Screen::Key;
 using wire::json;
 
-std::shared_ptr<Snapshot> some(std::size_t jobs) {
+std::shared_ptr<Snapshot> snapshot_with_jobs(std::size_t jobs) {
   auto s = std::make_shared<Snapshot>();
   s->from = "127.0.0.1:1";
   for (std::size_t i = 0; i < jobs; ++i) {
@@ -61,7 +61,7 @@
 };
 
 TEST_F(ScreenTest, FitsAnySize) {
-  screen_.show(some(500), now_);
+  screen_.show(snapshot_with_jobs(500), now_);
   for (const std::size_t rows : {1u, 2u, 3u, 5u, 24u, 200u})
     for (const std::size_t columns : {1u, 10u, 79u, 80u, 300u}) {
       for (int view = 0; view < 4; ++view, screen_.press(Key::NextView)) lines(rows, columns);
@@ -72,7 +72,7 @@
 }
 
 TEST_F(ScreenTest, MovesThroughTenThousandJobs) {
-  screen_.show(some(10'000), now_);
+  screen_.show(snapshot_with_jobs(10'000), now_);
   EXPECT_TRUE(shows("10000 jobs"));
   EXPECT_TRUE(shows("wk-100000"));
   screen_.press(Key::End);
@@ -87,8 +87,8 @@
   EXPECT_NE(selected_.find("wk-100001"), std::string::npos);
 }
 
-TEST_F(ScreenTest, SortsAndKeepsItsRow) {
-  screen_.show(some(30), now_);
+TEST_F(ScreenTest, SortsAndKeepsTheSelectedRow) {
+  screen_.show(snapshot_with_jobs(30), now_);
   screen_.press(Key::Down);
   lines();
   const auto row = selected_.substr(0, 9);
@@ -105,7 +105,7 @@
 }
 
 TEST_F(ScreenTest, SearchesAndShowsDetail) {
-  screen_.show(some(30), now_);
+  screen_.show(snapshot_with_jobs(30), now_);
   screen_.press(Key::Search);
   type("GIS");
   EXPECT_TRUE(shows("15 jobs"));
@@ -120,35 +120,35 @@
   EXPECT_TRUE(shows("30 jobs"));
   screen_.press(Key::Search);
   type("q");
-  EXPECT_FALSE(screen_.quits()) << "a letter of a search";
+  EXPECT_FALSE(screen_.quit_requested()) << "typed into the search";
   screen_.press(Key::Cancel);
   screen_.press(Key::Quit);
-  EXPECT_TRUE(screen_.quits());
+  EXPECT_TRUE(screen_.quit_requested());
 }
 
-TEST_F(ScreenTest, GoesOnWithWhatItHas) {
+TEST_F(ScreenTest, KeepsTheLastSnapshotAfterAnError) {
   EXPECT_TRUE(shows("reading"));
-  screen_.failed("jobs: no controller answered");
+  screen_.set_error("jobs: no controller answered");
   EXPECT_TRUE(shows("no controller answered"));
-  auto s = some(3);
+  auto s = snapshot_with_jobs(3);
   s->missing.push_back("drover-2 did not answer in time, what is shown of it is 12 s old");
   screen_.show(s, now_);
   now_ += 75s;
   EXPECT_TRUE(shows("read 1m15s ago"));
   EXPECT_TRUE(shows("Part missing: drover-2"));
-  screen_.failed("jobs: no controller answered");
-  EXPECT_TRUE(shows("Not read anew: jobs: no controller answered"));
+  screen_.set_error("jobs: no controller answered");
+  EXPECT_TRUE(shows("Refresh failed: jobs: no controller answered"));
   EXPECT_TRUE(shows("wk-100002"));
 }
 
 TEST_F(ScreenTest, ControlCharactersDoNotReachTheTerminal) {
-  screen_.show(some(1), now_);
+  screen_.show(snapshot_with_jobs(1), now_);
   screen_.press(Key::View3);
   for (const auto& line : lines(24, 200)) EXPECT_EQ(line.find('\x1b'), std::string::npos);
   EXPECT_TRUE(shows("?[2J", 24, 200));
 }
 
-TEST(Tables, SpansAndOrder) {
+TEST(Tables, FormatsDurationsAndSortsRows) {
   EXPECT_EQ(span(-3), "0s");
   EXPECT_EQ(span(59.4), "59s");
   EXPECT_EQ(span(75), "1m15s");
@@ -157,7 +157,7 @@
   Table t{"t", {"a"}, {{{"-", std::nullopt}}, {{"2", 2.0}}, {{"10", 10.0}}}};
   sort_rows(t, 0, true);
   EXPECT_EQ(t.rows[0][0].text, "10");
-  EXPECT_EQ(t.rows[2][0].text, "-") << "what has no number comes last";
+  EXPECT_EQ(t.rows[2][0].text, "-") << "a row without a number comes last";
   sort_rows(t, 0, false);
   EXPECT_EQ(t.rows[0][0].text, "2");
   EXPECT_EQ(t.rows[2][0].text, "-");
