--- a/bench/golden/record_golden.cpp
+++ b/bench/golden/record_golden.cpp
@@ -111,7 +111,7 @@
   for (const auto& spec : day.submitted())
     lines.push_back({{"job", spec.uid},
                      {"accepted", day.cluster().accepted(spec.uid)},
-                     {"final", day.cluster().told(spec.uid)},
+                     {"final", day.cluster().final_phase(spec.uid)},
                      {"spec", wire::to_json(spec)}});
   for (const auto& k : state.content()) {
     lines.push_back(
--- a/tests/bench/diagnostics_bench.cpp
+++ b/tests/bench/diagnostics_bench.cpp
@@ -52,7 +52,7 @@
   settings.operators.rehearse_per_s = state.range(0) == 2 ? 10 : 0;
   settings.state_rps = 5'000;
   settings.state_write_rps = 5'000;
-  SimulatedCluster cluster(world, settings, {.lambda_s = 6, .scripted = true});
+  SimulatedCluster cluster(world, settings, {.mean_submission_interval_s = 6, .scripted = true});
   cluster.stop_arrivals();
   cluster.run(10s);
   for (std::size_t i = 0; i < 10'000; ++i) {
--- a/tests/bench/large_deployment_bench.cpp
+++ b/tests/bench/large_deployment_bench.cpp
@@ -34,7 +34,8 @@
   SimulatedWorld world(seed);
   auto settings = fleet_settings();
   settings.start.ask_unheard = std::getenv("ASK_UNHEARD") != nullptr;
-  SimulatedCluster cluster(world, settings, {.per_pool = machines / 12 + 1, .scripted = true});
+  SimulatedCluster cluster(world, settings,
+                           {.machines_per_pool = machines / 12 + 1, .scripted = true});
   if (!fill(cluster, machines)) return std::puts("the fleet did not fill"), 1;
   const auto up = cluster.up_machines();
   for (std::size_t i = 0; i < 3; ++i) cluster.crash(i, seconds(delay));
@@ -67,10 +68,11 @@
 int size(std::size_t machines) {
   SimulatedWorld world(1);
   const auto settings = fleet_settings();
-  SimulatedCluster cluster(world, settings, {.per_pool = machines / 12 + 1, .scripted = true});
+  SimulatedCluster cluster(world, settings,
+                           {.machines_per_pool = machines / 12 + 1, .scripted = true});
   if (!fill(cluster, machines)) return std::puts("the fleet did not fill"), 1;
   std::size_t records = 0, largest = 0, names = 0;
-  cluster.state().each([&](const std::string& key, const wire::json& value) {
+  cluster.state().for_each_key([&](const std::string& key, const wire::json& value) {
     if (!key.starts_with("w/machine/")) return;
     ++records;
     names += value.size();
--- a/tests/bench/overload_bench.cpp
+++ b/tests/bench/overload_bench.cpp
@@ -98,7 +98,7 @@
   SimulatedWorld world{7};
   SimulatedCluster cluster;
   Waiting(std::size_t machines, std::size_t jobs)
-      : cluster(world, settings(), {.per_pool = machines / 12 + 1, .scripted = true}) {
+      : cluster(world, settings(), {.machines_per_pool = machines / 12 + 1, .scripted = true}) {
     spdlog::set_level(spdlog::level::off);
     cluster.stop_arrivals();
     cluster.run(5s);
--- a/tests/compat/fault_day.cpp
+++ b/tests/compat/fault_day.cpp
@@ -43,12 +43,12 @@
       settings_(fault_day_settings(seed)),
       options_(options),
       cluster_(world_, settings_,
-               {.per_pool = kMachinesPerPool,
-                .lambda_s = kMeanSubmissionGapS,
-                .one_plan = seed % 2 == 0,
+               {.machines_per_pool = kMachinesPerPool,
+                .mean_submission_interval_s = kMeanSubmissionGapS,
+                .early_heartbeat_replaces_next = seed % 2 == 0,
                 .observer = std::move(observer)}) {
   // With a processor that takes its time admission control refuses requests.
-  if (seed % 6 == 3) cluster_.processor(kOrdinaryStep);
+  if (seed % 6 == 3) cluster_.set_processing_time(kOrdinaryStep);
 }
 
 void FaultDay::run() {
@@ -62,14 +62,14 @@
 }
 
 void FaultDay::overload_controllers() {
-  cluster_.processor(kOverloadedStep);
-  cluster_.slow(0, 4, kOverloadTime);
+  cluster_.set_processing_time(kOverloadedStep);
+  cluster_.slow_down(0, 4, kOverloadTime);
   for (int i = 0; i < 10; ++i) {
     submit_jobs();
     query_some_job();
     cluster_.run(2s);
   }
-  cluster_.processor(kOrdinaryStep);
+  cluster_.set_processing_time(kOrdinaryStep);
 }
 
 void FaultDay::restart_all_controllers() {
@@ -261,7 +261,7 @@
                                  : "machine/" + some_machine());
   ask("PUT", kOperatorApi + "drains/" + drained_.back(),
       chance(0.5) ? json{{"note", "maintenance"}, {"giveBack", chance(0.5)}}.dump() : "");
-  world_.at(between(1, 6), [this] { ask("GET", kOperatorApi + "drains"); });
+  world_.after(between(1, 6), [this] { ask("GET", kOperatorApi + "drains"); });
 }
 
 // ---- faults ----
@@ -283,7 +283,7 @@
     case 0:
       return cluster_.state_outage(between(1, 12));
     case 1:
-      return cluster_.state_slow(between(0.3, 3), time);
+      return cluster_.slow_state_service(between(0.3, 3), time);
     case 2:
       return cluster_.delay_transactions(0.3, time);
     case 3:
@@ -313,7 +313,7 @@
     case 2:
       return cluster_.freeze(node, time);
     case 3:
-      return cluster_.deafen(node, time);
+      return cluster_.drop_peer_messages_to(node, time);
     case 4:
       return cluster_.cut(node, Side::Peers, chance(0.5), time);
     case 5:
@@ -327,7 +327,7 @@
       return cluster_.cut_zone(settings_.zones[world_.below(settings_.zones.size())], time);
     default:
       cluster_.query_concurrently(between(5, 20), 0.2);
-      return cluster_.slow(node, 40, time);
+      return cluster_.slow_down(node, 40, time);
   }
 }
 
@@ -340,7 +340,7 @@
     case 1:
       return cluster_.block_heartbeats(some, time);
     case 2:
-      return cluster_.hang(time);
+      return cluster_.hang_random_machine(time);
     case 3:
       return cluster_.hang_machines(cluster_.machines_with(some_job()), time);
     case 4:
--- a/tests/compat/store_upgrade_test.cpp
+++ b/tests/compat/store_upgrade_test.cpp
@@ -81,7 +81,7 @@
   static constexpr auto kLeftLeases = 10s;  ///< what the earlier controllers' leases have left
   simulation::SimulatedWorld world_{kStoreSeed};
   FaultDay day_{world_, kStoreSeed, nullptr};
-  std::vector<StateService::Kept> content_;
+  std::vector<StateService::StoredKey> content_;
   std::vector<RecordedJob> jobs_;
 };
 
@@ -143,7 +143,7 @@
   EXPECT_EQ(day_.cluster().unfinished(), std::vector<std::string>());
   std::size_t going_on = 0;
   for (const auto& uid : services)
-    going_on += services_seen.contains(uid) || day_.cluster().told(uid) == "cancelled";
+    going_on += services_seen.contains(uid) || day_.cluster().final_phase(uid) == "cancelled";
   EXPECT_EQ(going_on, services.size());
   EXPECT_EQ(simulation::violations(day_.cluster().invariants()), "");
 }
--- a/tests/failover/large_deployment_test.cpp
+++ b/tests/failover/large_deployment_test.cpp
@@ -24,7 +24,7 @@
   settings.state_write_rps = 150;
   settings.cloud_rps = 20;
   settings.tuning.idle_return = wire::Seconds(300);
-  SimulatedCluster cluster(world, settings, {.per_pool = 100, .scripted = true});
+  SimulatedCluster cluster(world, settings, {.machines_per_pool = 100, .scripted = true});
   cluster.stop_arrivals();
   cluster.run(5s);
   std::vector<std::string> services;
--- a/tests/failover/member_eviction_test.cpp
+++ b/tests/failover/member_eviction_test.cpp
@@ -101,7 +101,7 @@
     return count;
   }
   SimulatedWorld world_{GetParam()};
-  SimulatedCluster cluster_{world_, settings(), {.per_pool = 8, .scripted = true}};
+  SimulatedCluster cluster_{world_, settings(), {.machines_per_pool = 8, .scripted = true}};
 };
 INSTANTIATE_TEST_SUITE_P(Seeds, MemberEvictionTest, testing::Range<std::uint64_t>(1, 6));
 
@@ -152,7 +152,7 @@
 TEST_P(MemberEvictionTest, OneWayPartitionOfTheLeaderEvictsNobody) {
   const auto before = epoch().members;
 
-  cluster_.deafen(leader_node(), 25s);
+  cluster_.drop_peer_messages_to(leader_node(), 25s);
   cluster_.run(30s);
 
   EXPECT_EQ(epoch().members, before);
--- a/tests/fault_interactions/capacity_test.cpp
+++ b/tests/fault_interactions/capacity_test.cpp
@@ -13,7 +13,8 @@
   }
   QuotaLimitDuringFailover() : FaultInteraction(narrow()) {}
   bool full() {
-    return cluster_.invariants().used("red") > 36 && cluster_.invariants().used("blue") > 26;
+    return cluster_.invariants().used_cpus("red") > 36 &&
+           cluster_.invariants().used_cpus("blue") > 26;
   }
 };
 
@@ -45,7 +46,7 @@
       cluster_.block_heartbeats([&](const auto& m, const auto&) { return where.contains(m); },
                                 time);
     cluster_.run(seconds(s(0.05, 0.5)));
-    if (world_.chance(0.5)) cluster_.state_slow(seconds(s(0.2, 2)), 12s);
+    if (world_.chance(0.5)) cluster_.slow_state_service(seconds(s(0.2, 2)), 12s);
     const auto first = leader();
     const auto many = 1 + world_.below(3);
     for (std::size_t i = 0; i < many; ++i) cluster_.crash((first + i) % 3, seconds(s(0.02, 1)));
@@ -55,7 +56,7 @@
     if (kind != 1) {
       EXPECT_EQ(cluster_.invariants().started_after_cancel(), started);
     }
-    const auto over = [&](const auto& uid) { return !cluster_.told(uid).empty(); };
+    const auto over = [&](const auto& uid) { return !cluster_.final_phase(uid).empty(); };
     EXPECT_LT(until(60s, [&] { return std::all_of(doomed.begin(), doomed.end(), over); }), 60s);
   }
   EXPECT_LT(until(300s, [&] { return all_done(kept); }), 300s);
@@ -77,7 +78,7 @@
   ASSERT_LT(until(3s, [&] { return cancelled(doomed) > doomed.size() * 3 / 4; }), 3s);
   for (std::size_t i = 0; i < 3; ++i) cluster_.crash(i, seconds(s(0.02, 0.3)));
   cluster_.run(1s);
-  cluster_.state_slow(2500ms, 15s);
+  cluster_.slow_state_service(2500ms, 15s);
   cluster_.run(25s);
   ASSERT_EQ(violations(cluster_.invariants()), "");
   EXPECT_LT(until(300s, [&] { return all_done(kept); }), 300s);
@@ -103,7 +104,8 @@
 class MoreWorkThanCapacity : public FaultInteraction {
  protected:
   MoreWorkThanCapacity()
-      : FaultInteraction(settings(), {.per_pool = 2, .scripted = true, .never_up = 0}) {}
+      : FaultInteraction(settings(),
+                         {.machines_per_pool = 2, .scripted = true, .boot_failure_share = 0}) {}
 };
 
 // There is more work than room, urgent and not, over slow links: all is done in the end, the urgent
--- a/tests/fault_interactions/delayed_heartbeats_test.cpp
+++ b/tests/fault_interactions/delayed_heartbeats_test.cpp
@@ -63,7 +63,7 @@
     const auto first = leader();
     const auto many = round % 2 ? 3 : 1 + world_.below(2);
     for (std::size_t i = 0; i < many; ++i) cluster_.crash((first + i) % 3, seconds(s(0.02, 2)));
-    if (world_.chance(0.4)) cluster_.hang(seconds(s(2, 12)));
+    if (world_.chance(0.4)) cluster_.hang_random_machine(seconds(s(2, 12)));
     if (world_.chance(0.4)) cluster_.kill_machines(2);
     cluster_.run(seconds(s(3, 16)));
     ASSERT_EQ(violations(cluster_.invariants()), "");
@@ -86,12 +86,12 @@
       if (world_.chance(0.3)) where.insert(m);
   cluster_.hang_machines(where, seconds(settings_.worker_lease.count() + 2));
   cluster_.run(seconds(settings_.worker_lease.count() + s(5, 9)));
-  const auto halted = cluster_.halted();
+  const auto halted = cluster_.stopped_tasks();
   cluster_.hang_machines(where, seconds(s(5, 8)));
   for (std::size_t i = 0; i < 3; ++i) cluster_.crash(i, seconds(s(0.02, 0.5)));
   cluster_.run(15s);
   ASSERT_EQ(violations(cluster_.invariants()), "");
-  EXPECT_EQ(cluster_.halted(), halted);  // nothing that runs was stopped for it
+  EXPECT_EQ(cluster_.stopped_tasks(), halted);  // nothing that runs was stopped for it
   EXPECT_LT(until(300s, [&] { return all_done(jobs); }), 300s);
 }
 
--- a/tests/fault_interactions/fault_fixture.hpp
+++ b/tests/fault_interactions/fault_fixture.hpp
@@ -18,7 +18,8 @@
 class FaultInteraction : public testing::TestWithParam<std::uint64_t> {
  protected:
   explicit FaultInteraction(wire::Settings s = settings(),
-                            SimulatedCluster::Options options = {.per_pool = 4, .scripted = true})
+                            SimulatedCluster::Options options = {.machines_per_pool = 4,
+                                                                 .scripted = true})
       : settings_(std::move(s)), cluster_(world_, settings_, options) {}
   static wire::Settings settings() {
     auto s = settings_for_tests();
@@ -37,7 +38,7 @@
         static_cast<int>(net::to_seconds(cluster_.invariants().longest_after_cancel()).count() *
                          1000));
     EXPECT_EQ(violations(cluster_.invariants()), "");
-    EXPECT_EQ(cluster_.state().unguarded(), std::set<std::string>());
+    EXPECT_EQ(cluster_.state().unconditionally_written_keys(), std::set<std::string>());
   }
   /// Arrays of a few tasks each; `estimate_s` above 60: they are the leader's.
   std::vector<std::string> arrays(int count, std::uint32_t tasks, double estimate_s) {
@@ -62,7 +63,7 @@
   }
   bool all_done(const std::vector<std::string>& uids) const {
     return std::all_of(uids.begin(), uids.end(),
-                       [&](const auto& uid) { return cluster_.told(uid) == "done"; });
+                       [&](const auto& uid) { return cluster_.final_phase(uid) == "done"; });
   }
   std::size_t leader() const { return cluster_.leader(); }
   void cancel(const std::vector<std::string>& jobs) {
@@ -70,7 +71,7 @@
   }
   std::size_t cancelled(const std::vector<std::string>& jobs) const {
     return static_cast<std::size_t>(std::count_if(jobs.begin(), jobs.end(), [&](const auto& uid) {
-      return cluster_.told(uid) == "cancelled";
+      return cluster_.final_phase(uid) == "cancelled";
     }));
   }
   double s(double low, double high) { return world_.uniform(low, high); }
--- a/tests/fault_interactions/leader_change_test.cpp
+++ b/tests/fault_interactions/leader_change_test.cpp
@@ -106,7 +106,7 @@
       cluster_.query_status(uid, i % 3 == 0 ? world_.below(3) : old);
     ASSERT_EQ(violations(cluster_.invariants()), "");
   }
-  for (const auto& uid : long_jobs) EXPECT_EQ(cluster_.told(uid), "cancelled");
+  for (const auto& uid : long_jobs) EXPECT_EQ(cluster_.final_phase(uid), "cancelled");
   EXPECT_LT(until(200s, [&] { return cluster_.unfinished().empty(); }), 200s);
   EXPECT_EQ(cluster_.up_controllers(), 3u);
 }
@@ -172,7 +172,7 @@
   }
   // Silence to verdict, the time for which a lost owner may still answer, and users who ask every
   // second or two.
-  EXPECT_LT(cluster_.longest_unconfirmed(), 20s);
+  EXPECT_LT(cluster_.longest_cancellation(), 20s);
   EXPECT_EQ(cluster_.invariants().ordered_after_cancel(), 0u);
 }
 
@@ -182,11 +182,11 @@
 class NewMachinesDuringLeaderChange : public FaultInteraction {
  protected:
   NewMachinesDuringLeaderChange()
-      : FaultInteraction(settings(), {.per_pool = 12,
+      : FaultInteraction(settings(), {.machines_per_pool = 12,
                                       .scripted = true,
-                                      .boot_least_s = 0.05,
-                                      .boot_most_s = 2,
-                                      .never_up = 0}) {}
+                                      .min_boot_s = 0.05,
+                                      .max_boot_s = 2,
+                                      .boot_failure_share = 0}) {}
 };
 
 // New machines are up within two seconds and get work at once while writes lag, carried out late or
@@ -236,7 +236,7 @@
   EXPECT_LT(until(10s,
                   [&] {
                     return std::all_of(doomed.begin(), doomed.end(), [&](const auto& uid) {
-                      return !cluster_.told(uid).empty();
+                      return !cluster_.final_phase(uid).empty();
                     });
                   }),
             10s);
--- a/tests/fault_interactions/random_faults.hpp
+++ b/tests/fault_interactions/random_faults.hpp
@@ -44,7 +44,7 @@
       case 6:
         return cluster_.state_outage(seconds(s(10, 45)));
       case 7:
-        return cluster_.state_slow(seconds(s(0.3, 4)), time);
+        return cluster_.slow_state_service(seconds(s(0.3, 4)), time);
       case 8:
         return cluster_.crash(node, seconds(s(0.1, 12)));
       case 9:
@@ -61,7 +61,7 @@
       case 14:
         return cluster_.cut(node, Side::Workers, world_.chance(0.5), time);
       case 15:
-        return cluster_.hang(time);
+        return cluster_.hang_random_machine(time);
       case 16:
         return cluster_.delay_transactions(s(0.1, 0.6), time, true);
       case 17:
--- a/tests/fault_interactions/store_faults_test.cpp
+++ b/tests/fault_interactions/store_faults_test.cpp
@@ -13,7 +13,7 @@
 using Recorded = std::map<std::pair<std::string, std::uint32_t>, std::string>;
 std::map<std::string, Recorded> recorded(const StateService& state) {
   std::map<std::string, Recorded> out;
-  state.each([&](const std::string& key, const json& value) {
+  state.for_each_key([&](const std::string& key, const json& value) {
     if (!key.starts_with("progress/")) return;
     for (const auto& p : value) out[key][{p.at(0), p.at(1)}] = p.at(2);
   });
@@ -78,7 +78,7 @@
     cluster_.run(seconds(s(3, 8)));
     ASSERT_EQ(violations(cluster_.invariants()), "");
   }
-  const auto over = [&](const auto& uid) { return !cluster_.told(uid).empty(); };
+  const auto over = [&](const auto& uid) { return !cluster_.final_phase(uid).empty(); };
   EXPECT_LT(until(200s, [&] { return std::all_of(all.begin(), all.end(), over); }), 200s);
 }
 
@@ -94,7 +94,7 @@
   for (int twice = 0; twice < 2; ++twice) {
     const auto doomed = arrays(10, 3, 58);
     cluster_.run(25s);
-    cluster_.state_slow(seconds(s(0.2, 3)), 16s);
+    cluster_.slow_state_service(seconds(s(0.2, 3)), 16s);
     cluster_.run(seconds(s(0, 2)));
     const auto old = leader();
     if (twice == 1 && GetParam() % 2)
@@ -105,7 +105,7 @@
     cluster_.run(seconds(s(1, 4)));
     cluster_.state_outage(seconds(settings().cancel_timeout.count() + s(5, 25)));
     cluster_.run(70s);
-    for (const auto& uid : doomed) EXPECT_EQ(cluster_.told(uid), "cancelled");
+    for (const auto& uid : doomed) EXPECT_EQ(cluster_.final_phase(uid), "cancelled");
     EXPECT_LT(cluster_.longest_unanswered(), kForgotten / 3);
     ASSERT_EQ(violations(cluster_.invariants()), "");
   }
--- a/tests/fault_interactions/unreachable_machines_test.cpp
+++ b/tests/fault_interactions/unreachable_machines_test.cpp
@@ -16,7 +16,7 @@
   cluster_.block_inbound_to_machines([&](const auto&, const auto&) { return ++n % 6 == 0; }, 200s);
   cluster_.run(1s);
   cluster_.crash(leader(), seconds(s(0.1, 5)));
-  cluster_.hang(seconds(s(4, 20)));
+  cluster_.hang_random_machine(seconds(s(4, 20)));
   cluster_.run(seconds(s(6, 14)));
   cluster_.crash(leader(), seconds(s(0.1, 5)));
   // A lease until the deaf machines drop what they hold, another until they are given back, and
@@ -43,7 +43,7 @@
   cancel(doomed);
   const auto gone = [&] {
     return std::all_of(doomed.begin(), doomed.end(), [&](const auto& uid) {
-      return !cluster_.told(uid).empty() && cluster_.machines_with(uid).empty();
+      return !cluster_.final_phase(uid).empty() && cluster_.machines_with(uid).empty();
     });
   };
   EXPECT_LT(until(5s, gone), 2s);
@@ -70,7 +70,7 @@
     const auto doomed = services(2, 3);
     cluster_.run(seconds(s(0.5, 3)));
     cluster_.cut(world_.below(3), Side::Workers, true, seconds(s(1, 30)));
-    for (int i = 0; i < 4; ++i) cluster_.hang(seconds(s(1, 30)));
+    for (int i = 0; i < 4; ++i) cluster_.hang_random_machine(seconds(s(1, 30)));
     cluster_.run(seconds(s(1, 10)));
     for (const auto& uid : doomed) cluster_.cancel(uid);
     if (round == 3) cluster_.crash(leader(), 50ms);
--- a/tests/fault_interactions/user_requests_test.cpp
+++ b/tests/fault_interactions/user_requests_test.cpp
@@ -25,7 +25,7 @@
         cluster_.reject_at_store(leader(), 8s);
         break;
       case 2:
-        cluster_.state_slow(seconds(s(0.1, 0.8)), 10s);
+        cluster_.slow_state_service(seconds(s(0.1, 0.8)), 10s);
         break;
       case 3: {
         const auto node = world_.below(2) ? leader() : world_.below(3);
@@ -44,7 +44,7 @@
     cluster_.run(seconds(s(4, 10)));
     ASSERT_EQ(violations(cluster_.invariants()), "");
   }
-  const auto over = [&](const auto& uid) { return !cluster_.told(uid).empty(); };
+  const auto over = [&](const auto& uid) { return !cluster_.final_phase(uid).empty(); };
   EXPECT_LT(until(150s, [&] { return std::all_of(all.begin(), all.end(), over); }), 150s);
 }
 
@@ -70,11 +70,11 @@
   EXPECT_LT(until(60s,
                   [&] {
                     return std::all_of(jobs.begin(), jobs.end(), [&](const auto& uid) {
-                      return !cluster_.told(uid).empty();
+                      return !cluster_.final_phase(uid).empty();
                     });
                   }),
             60s);
-  EXPECT_LT(cluster_.longest_unconfirmed(), 3s);
+  EXPECT_LT(cluster_.longest_cancellation(), 3s);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, CancelAtJobEnd, testing::Range<std::uint64_t>(1, 7));
@@ -168,24 +168,24 @@
 TEST_P(SmallJobsAtHighRate, AreAcceptedAndDoneAtBoundedCost) {
   constexpr int kJobs = 720;
   std::vector<std::string> kept, doomed;
-  const auto handled = cluster_.state().handled();
-  const auto written = cluster_.state().written();
+  const auto handled = cluster_.state().request_count();
+  const auto written = cluster_.state().write_count();
   for (int i = 0; i < kJobs; ++i) {
     const auto uid = submit(cluster_, plain(cluster_, false, 1, i % 2 ? "red" : "blue", s(2, 8)));
     (i % 4 == 0 ? doomed : kept).push_back(uid);
-    if (i % 4 == 0) world_.at(seconds(s(0.05, 5)), [this, uid] { cluster_.cancel(uid); });
+    if (i % 4 == 0) world_.after(seconds(s(0.05, 5)), [this, uid] { cluster_.cancel(uid); });
     cluster_.run(250ms);
     if (i == 300) cluster_.crash(world_.below(3), seconds(s(0.02, 3)));
     ASSERT_EQ(violations(cluster_.invariants()), "");
   }
   EXPECT_LT(until(60s, [&] { return all_done(kept); }), 60s);
-  for (const auto& uid : doomed) EXPECT_FALSE(cluster_.told(uid).empty()) << uid;
+  for (const auto& uid : doomed) EXPECT_FALSE(cluster_.final_phase(uid).empty()) << uid;
   // One write for the acceptance, two for the end; the rest are machines, progress and the run that
   // ended.
-  EXPECT_LT(static_cast<double>(cluster_.state().written() - written) / kJobs, 3.3);
+  EXPECT_LT(static_cast<double>(cluster_.state().write_count() - written) / kJobs, 3.3);
   // Each change also answers the watches of three controllers, once a second a renewal and a watch
   // for each come in addition.
-  EXPECT_LT(static_cast<double>(cluster_.state().handled() - handled) / kJobs, 12.5);
+  EXPECT_LT(static_cast<double>(cluster_.state().request_count() - handled) / kJobs, 12.5);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, SmallJobsAtHighRate, testing::Range<std::uint64_t>(1, 4));
--- a/tests/load/candidates_test.cpp
+++ b/tests/load/candidates_test.cpp
@@ -48,7 +48,7 @@
 TEST(Candidates, AreTheEligibleMachinesOfTheRegistryThroughRandomFaults) {
   spdlog::set_level(spdlog::level::off);
   SimulatedWorld world(21);
-  SimulatedCluster cluster(world, settings_for_tests(), {.per_pool = 6});
+  SimulatedCluster cluster(world, settings_for_tests(), {.machines_per_pool = 6});
   std::map<const app::ControllerInstance*, std::unique_ptr<machines::Candidates>> candidates_of;
   std::size_t compared = 0;
   for (int step = 0; step < 60; ++step) {
--- a/tests/load/failover_pulls_test.cpp
+++ b/tests/load/failover_pulls_test.cpp
@@ -13,8 +13,9 @@
 TEST(FailoverPulls, JobsBehindTheFailoverBarrierAreNotPulledFor) {
   spdlog::set_level(spdlog::level::off);
   SimulatedWorld world(4);
-  SimulatedCluster cluster(world, fleet_settings(),
-                           {.per_pool = 40, .one_plan = true, .scripted = true});
+  SimulatedCluster cluster(
+      world, fleet_settings(),
+      {.machines_per_pool = 40, .early_heartbeat_replaces_next = true, .scripted = true});
   start_services(cluster, 6);
   for (int i = 0; i < 120; ++i) submit(cluster, array_job(cluster, 90, 40));
   cluster.run(40s);
--- a/tests/load/overload_throughput_test.cpp
+++ b/tests/load/overload_throughput_test.cpp
@@ -22,12 +22,14 @@
   SimulatedWorld world(5);
   auto settings = fleet_settings();
   if (!admission_control) settings.overload.lag = wire::Seconds(0);
-  SimulatedCluster cluster(world, settings, {.per_pool = 8, .one_plan = true, .scripted = true});
+  SimulatedCluster cluster(
+      world, settings,
+      {.machines_per_pool = 8, .early_heartbeat_replaces_next = true, .scripted = true});
   start_services(cluster, 1);
   submit(cluster, array_job(cluster, 60, 400));  // keeps the machines from being released
   cluster.run(40s);
-  cluster.processor(2500us);
-  if (one_slower) cluster.slow(0, 5, 600s);
+  cluster.set_processing_time(2500us);
+  if (one_slower) cluster.slow_down(0, 5, 600s);
   std::size_t starts_before = 0;
   double due = 0;
   constexpr auto kStep = 100ms;
--- a/tests/load/rebalancing_test.cpp
+++ b/tests/load/rebalancing_test.cpp
@@ -12,16 +12,17 @@
 TEST(Rebalancing, MachinesLeaveTheMostLoadedControllerUntilLoadsAreEven) {
   spdlog::set_level(spdlog::level::off);
   SimulatedWorld world(9);
-  SimulatedCluster cluster(world, fleet_settings(),
-                           {.per_pool = 40, .one_plan = true, .scripted = true});
+  SimulatedCluster cluster(
+      world, fleet_settings(),
+      {.machines_per_pool = 40, .early_heartbeat_replaces_next = true, .scripted = true});
   start_services(cluster, 4);
   for (int i = 0; i < 4; ++i) submit(cluster, array_job(cluster, 300, 60));
   cluster.run(60s);
   const auto leader = cluster.leader();
   const auto machines_before = cluster.machines_of(leader);
   const auto leases_lost = cluster.leases_lost();
-  cluster.processor(600us);
-  cluster.slow(leader, 4, 600s);
+  cluster.set_processing_time(600us);
+  cluster.slow_down(leader, 4, 600s);
   cluster.run(200s);
   const auto redirected = cluster.redirected();
   EXPECT_GT(redirected, 10U);
--- a/tests/load/submission_flood_test.cpp
+++ b/tests/load/submission_flood_test.cpp
@@ -15,7 +15,9 @@
  protected:
   SubmissionFlood()
       : world_(11),
-        cluster_(world_, fleet_settings(), {.per_pool = 154, .one_plan = true, .scripted = true}) {
+        cluster_(
+            world_, fleet_settings(),
+            {.machines_per_pool = 154, .early_heartbeat_replaces_next = true, .scripted = true}) {
     spdlog::set_level(spdlog::level::off);
   }
 
--- a/tests/operator_api/pending_reasons_test.cpp
+++ b/tests/operator_api/pending_reasons_test.cpp
@@ -251,7 +251,7 @@
   const auto other = (leader + 1) % 3;
   // A machine whose silence keeps the new leader from knowing what is where.
   const auto s = service(1, 4, "");
-  cluster_.hang(40s);
+  cluster_.hang_random_machine(40s);
   cluster_.submit(s);
   cluster_.crash(leader, 120s);
   bool takeover = false, silent = false;
--- a/tests/restart/alone_test.cpp
+++ b/tests/restart/alone_test.cpp
@@ -18,7 +18,7 @@
 TEST(Alone, With1840MachinesNoLeaseIsLostAndUsersAreAnswered) {
   spdlog::set_level(spdlog::level::off);
   SimulatedWorld world(3);
-  SimulatedCluster cluster(world, fleet_settings(), {.per_pool = 154, .scripted = true});
+  SimulatedCluster cluster(world, fleet_settings(), {.machines_per_pool = 154, .scripted = true});
   cluster.stop_arrivals();
   cluster.run(5s);
   for (int i = 0; i < 30; ++i)
--- a/tests/restart/restart_test.cpp
+++ b/tests/restart/restart_test.cpp
@@ -23,7 +23,7 @@
     return s;
   }
   explicit Restarts(std::uint64_t seed = 1, wire::Settings s = settings(),
-                    SimulatedCluster::Options options = {.per_pool = 8, .scripted = true})
+                    SimulatedCluster::Options options = {.machines_per_pool = 8, .scripted = true})
       : world_(seed), cluster_(world_, std::move(s), options) {
     spdlog::set_level(std::getenv("SIM_LOG") ? spdlog::level::info : spdlog::level::off);
     cluster_.stop_arrivals();
@@ -91,7 +91,7 @@
       case Amid::Quiet:
         break;
       case Amid::SlowState:
-        cluster_.state_slow(300ms, 8s);
+        cluster_.slow_state_service(300ms, 8s);
         break;
       case Amid::StateAway:
         cluster_.state_outage(3s);
--- a/tests/simulation/cluster_queries.cpp
+++ b/tests/simulation/cluster_queries.cpp
@@ -30,7 +30,7 @@
 
 std::set<std::string> SimulatedCluster::registered_machines() const {
   std::set<std::string> out;
-  state_.each([&](const std::string& key, const json& value) {
+  state_.for_each_key([&](const std::string& key, const json& value) {
     if (key.starts_with(cluster::keys::kMachines))
       for (const auto& [name, spot] : value.items()) out.insert(name);
   });
@@ -45,7 +45,7 @@
 
 bool SimulatedCluster::has_room_for(const wire::JobSpec& s) const {
   const double most = settings_.teams.at(s.team).cpus_max;
-  if (most > 0 && invariants_.used(s.team) + s.cpus > most + 1e-6) return false;
+  if (most > 0 && invariants_.used_cpus(s.team) + s.cpus > most + 1e-6) return false;
   return std::any_of(workers_.begin(), workers_.end(), [&](const auto& entry) {
     const auto& w = entry.second;
     return w.up && !w.hung && !w.preemption_notice && !w.sick && w.deaf == 0 && w.mute == 0 &&
@@ -71,7 +71,7 @@
     longest_wait_ = std::max(
         longest_wait_, world_.now() - waiting_since_.try_emplace(uid, world_.now()).first->second);
   }
-  world_.at(1s, [this] { check_waiting_jobs(); });
+  world_.after(1s, [this] { check_waiting_jobs(); });
 }
 
 Duration SimulatedCluster::longest_unanswered() const {
--- a/tests/simulation/injected_faults.cpp
+++ b/tests/simulation/injected_faults.cpp
@@ -9,28 +9,28 @@
 namespace limemast::simulation {
 void SimulatedCluster::delay_sent(std::size_t node, Duration late, Duration time) {
   nodes_[node].late = late;
-  world_.at(time, [this, node] { nodes_[node].late = {}; });
+  world_.after(time, [this, node] { nodes_[node].late = {}; });
 }
 
 void SimulatedCluster::reject_at_store(std::size_t node, Duration time) {
   ++nodes_[node].refused;
-  world_.at(time, [this, node] { --nodes_[node].refused, release_watches(node); });
+  world_.after(time, [this, node] { --nodes_[node].refused, release_watches(node); });
 }
 
 void SimulatedCluster::stall_watches(std::size_t node, Duration time) {
   ++nodes_[node].stalled;
-  world_.at(time, [this, node] { --nodes_[node].stalled, release_watches(node); });
+  world_.after(time, [this, node] { --nodes_[node].stalled, release_watches(node); });
 }
 
 void SimulatedCluster::delay_transactions(double share, Duration time, bool at_once) {
   auto& which = at_once ? answers_lost_ : writes_late_;
   which = share;
-  world_.at(time, [&which] { which = 0; });
+  world_.after(time, [&which] { which = 0; });
 }
 
 void SimulatedCluster::replay_heartbeats_at_next_leader(double share, Duration time) {
   kept_for_next_ = share;
-  world_.at(time, [this] { kept_for_next_ = 0, for_next_.clear(); });
+  world_.after(time, [this] { kept_for_next_ = 0, for_next_.clear(); });
 }
 
 /// A new leader begins: the copies that were kept for it reach every controller within a second or
@@ -42,7 +42,7 @@
   led_by_ = led_by;
   for (const auto& [machine, copy] : std::exchange(for_next_, {}))
     for (std::size_t i = 0; i < nodes_.size(); ++i)
-      world_.at(seconds(world_.uniform(0, 2)), [this, copy = copy, i] {
+      world_.after(seconds(world_.uniform(0, 2)), [this, copy = copy, i] {
         to_controller(
             i, Side::Workers, copy.request, 4s, [](net::HttpResult) {}, copy.zone);
       });
@@ -53,24 +53,24 @@
   for (auto& [name, w] : workers_) {
     if (!w.up || !which(name, w.zone)) continue;
     ++w.mute;
-    world_.at(time, [this, name = name] { --workers_.at(name).mute; });
+    world_.after(time, [this, name = name] { --workers_.at(name).mute; });
   }
 }
 
 void SimulatedCluster::query_concurrently(Duration time, double cancel_at_once) {
   ++looking_closely_;
   cancel_at_once_ = cancel_at_once;
-  world_.at(time, [this] { --looking_closely_; });
+  world_.after(time, [this] { --looking_closely_; });
 }
 
 void SimulatedCluster::cancel_at_end(double share, Duration time) {
   cancel_at_end_ = share;
-  world_.at(time, [this] { cancel_at_end_ = 0; });
+  world_.after(time, [this] { cancel_at_end_ = 0; });
 }
 
 void SimulatedCluster::duplicate_heartbeats_late(double share, Duration time) {
   reports_late_ = share;
-  world_.at(time, [this] { reports_late_ = 0; });
+  world_.after(time, [this] { reports_late_ = 0; });
 }
 
 void SimulatedCluster::block_inbound_to_machines(
@@ -78,30 +78,30 @@
   for (auto& [name, w] : workers_) {
     if (!w.up || !which(name, w.zone)) continue;
     ++w.deaf;
-    world_.at(time, [this, name = name] { --workers_.at(name).deaf; });
+    world_.after(time, [this, name = name] { --workers_.at(name).deaf; });
   }
 }
 
 void SimulatedCluster::drop_direct_commands(Duration time) {
   direct_lost_ = true;
-  world_.at(time, [this] { direct_lost_ = false; });
+  world_.after(time, [this] { direct_lost_ = false; });
 }
 
 void SimulatedCluster::lose_messages(const std::string& kind, Duration time) {
   lost_kinds_.insert(kind);
-  world_.at(time, [this, kind] { lost_kinds_.erase(kind); });
+  world_.after(time, [this, kind] { lost_kinds_.erase(kind); });
 }
 
-void SimulatedCluster::state_slow(Duration late, Duration time) {
+void SimulatedCluster::slow_state_service(Duration late, Duration time) {
   state_late_ = late;
-  world_.at(time, [this] { state_late_ = {}; });
+  world_.after(time, [this] { state_late_ = {}; });
 }
 
 void SimulatedCluster::freeze(std::size_t node, Duration time) { nodes_[node].freeze_next = time; }
 
-void SimulatedCluster::slow(std::size_t node, double times, Duration time) {
+void SimulatedCluster::slow_down(std::size_t node, double times, Duration time) {
   nodes_[node].times = times;
-  world_.at(time, [this, node] { nodes_[node].times = 1; });
+  world_.after(time, [this, node] { nodes_[node].times = 1; });
 }
 
 void SimulatedCluster::crash(std::size_t node, Duration back_after) {
@@ -109,31 +109,32 @@
   if (!n.controller) return;
   n.controller.reset();
   n.runtime.reset();
-  world_.at(back_after, [this, node] { start(node); });
+  world_.after(back_after, [this, node] { start(node); });
 }
 
 void SimulatedCluster::cut(std::size_t node, Side side, bool hold, Duration time) {
   auto& n = nodes_[node];
   ++n.cut[side];
   n.hold = hold;
-  world_.at(time, [this, node, side] {
+  world_.after(time, [this, node, side] {
     auto& n = nodes_[node];
     if (--n.cut[side] > 0) return;
-    for (auto& deliver : std::exchange(n.held[side], {})) world_.at(latency(), std::move(deliver));
+    for (auto& deliver : std::exchange(n.held[side], {}))
+      world_.after(latency(), std::move(deliver));
   });
 }
 
-void SimulatedCluster::deafen(std::size_t node, Duration time) {
+void SimulatedCluster::drop_peer_messages_to(std::size_t node, Duration time) {
   nodes_[node].deaf = true;
-  world_.at(time, [this, node] { nodes_[node].deaf = false; });
+  world_.after(time, [this, node] { nodes_[node].deaf = false; });
 }
 
 void SimulatedCluster::cut_zone(const std::string& zone, Duration time) {
   if (!cut_zone_.empty()) return;
   cut_zone_ = zone;
-  world_.at(time, [this] {
+  world_.after(time, [this] {
     cut_zone_.clear();
-    for (auto& deliver : std::exchange(at_border_, {})) world_.at(latency(), std::move(deliver));
+    for (auto& deliver : std::exchange(at_border_, {})) world_.after(latency(), std::move(deliver));
   });
 }
 
@@ -153,17 +154,17 @@
 
 void SimulatedCluster::state_outage(Duration time) {
   if (++outages_ == 1) state_.set_outage(true);
-  world_.at(time, [this] {
+  world_.after(time, [this] {
     if (--outages_ == 0) state_.set_outage(false);
   });
 }
 
 void SimulatedCluster::cloud_outage(Duration time) {
   cloud_down_ = true;
-  world_.at(time, [this] { cloud_down_ = false; });
+  world_.after(time, [this] { cloud_down_ = false; });
 }
 
-void SimulatedCluster::hang(Duration time) {
+void SimulatedCluster::hang_random_machine(Duration time) {
   std::vector<std::string> up;
   for (const auto& [name, w] : workers_)
     if (w.up && !w.hung) up.push_back(name);
@@ -179,12 +180,12 @@
 
 void SimulatedCluster::hang_machine(const std::string& name, Duration time) {
   workers_.at(name).hung = true;
-  invariants_.hanging(name, true);
-  world_.at(time, [this, name] {
+  invariants_.set_hanging(name, true);
+  world_.after(time, [this, name] {
     auto& w = workers_.at(name);
     w.hung = false;
     if (w.up) check_lease(w);
-    invariants_.hanging(name, false);
+    invariants_.set_hanging(name, false);
     if (!w.up) return;
     for (auto& act : std::exchange(w.while_hung, {})) act();
     if (w.in_flight == 0) report(name);
@@ -200,14 +201,14 @@
   if (!notice) return remove_worker(w);
   w.preemption_notice = 5;
   send_heartbeat_soon(w);
-  world_.at(5s, [this, name = w.name] { remove_worker(workers_.at(name)); });
+  world_.after(5s, [this, name = w.name] { remove_worker(workers_.at(name)); });
 }
 
 void SimulatedCluster::make_machine_faulty(Duration time) {
   for (auto& [name, w] : workers_) {
     if (!w.up || w.sick || !world_.chance(0.3)) continue;
     w.sick = true;
-    world_.at(time, [this, name = name] { workers_.at(name).sick = false; });
+    world_.after(time, [this, name = name] { workers_.at(name).sick = false; });
     return;
   }
 }
@@ -218,11 +219,11 @@
   const bool hold = world_.chance(0.5);
   switch (world_.below(18)) {
     case 0:
-      return crash(node, seconds(world_.uniform(options_.back_least_s, options_.back_most_s)));
+      return crash(node, seconds(world_.uniform(options_.min_restart_s, options_.max_restart_s)));
     case 1:
       for (std::size_t i = 0; i < nodes_.size(); ++i)
-        crash(i,
-              seconds(world_.uniform(options_.back_least_s, std::min(6.0, options_.back_most_s))));
+        crash(i, seconds(world_.uniform(options_.min_restart_s,
+                                        std::min(6.0, options_.max_restart_s))));
       return;
     case 2:
       for (auto side : {Side::State, Side::Cloud, Side::Workers, Side::Peers})
@@ -239,7 +240,7 @@
     case 7:
       return cloud_outage(time);
     case 8:
-      return hang(seconds(world_.uniform(1, 25)));
+      return hang_random_machine(seconds(world_.uniform(1, 25)));
     case 9:
       return reclaim_machine(world_.chance(0.5));
     case 10:
@@ -247,7 +248,7 @@
     case 11:
       return freeze(node, seconds(world_.uniform(1, 40)));
     case 13:
-      return deafen(node, time);
+      return drop_peer_messages_to(node, time);
     case 14:
       return cut_zone(settings_.zones[world_.below(settings_.zones.size())],
                       seconds(world_.uniform(5, 40)));
@@ -255,15 +256,17 @@
       return kill_machines(1 + world_.below(5));
     case 16:  // a link that comes and goes
       for (int i = 0; i < 5; ++i)
-        world_.at(seconds(5.0 * i),
-                  [this, node] { cut(node, Side::Peers, false, seconds(world_.uniform(1, 4))); });
+        world_.after(seconds(5.0 * i), [this, node] {
+          cut(node, Side::Peers, false, seconds(world_.uniform(1, 4)));
+        });
       return;
     case 12:
       return freeze(leader(), seconds(world_.uniform(5, 15)));
     default:  // one after the other
       for (std::size_t i = 0; i < nodes_.size(); ++i)
-        world_.at(seconds(4.0 * static_cast<double>(i)),
-                  [this, i] { crash(i, seconds(std::min(1.0, options_.back_least_s + 0.02))); });
+        world_.after(seconds(4.0 * static_cast<double>(i)), [this, i] {
+          crash(i, seconds(std::min(1.0, options_.min_restart_s + 0.02)));
+        });
   }
 }
 }  // namespace limemast::simulation
--- a/tests/simulation/invariant_checker.cpp
+++ b/tests/simulation/invariant_checker.cpp
@@ -5,13 +5,13 @@
 constexpr auto kMoment = 250ms;  // what was on its way
 }  // namespace
 
-InvariantChecker::Known InvariantChecker::known(const std::string& uid) const {
+InvariantChecker::KnownStatus InvariantChecker::known(const std::string& uid) const {
   const auto it = jobs_.find(uid);
-  return it == jobs_.end() ? Known{} : it->second.known;
+  return it == jobs_.end() ? KnownStatus{} : it->second.known;
 }
 
-void InvariantChecker::told(const std::string& uid, const Known& then, int status,
-                            const std::string& phase) {
+void InvariantChecker::status_answered(const std::string& uid, const KnownStatus& then, int status,
+                                       const std::string& phase) {
   auto it = jobs_.find(uid);
   if (it == jobs_.end()) {
     if (status == 200) violated("invented", uid);
@@ -39,14 +39,14 @@
   final = phase;
 }
 
-void InvariantChecker::submission_told(const std::string& uid, const Known& then, int status,
-                                       const std::string& phase) {
+void InvariantChecker::submission_answered(const std::string& uid, const KnownStatus& then,
+                                           int status, const std::string& phase) {
   if (then.accepted && (status == 400 || status == 422)) violated("forgotten", uid + " repeated");
   if (then.accepted && status == 201) violated("went_back", uid + " accepted anew");
-  if (status == 200 || status == 201) told(uid, then, 200, phase);
+  if (status == 200 || status == 201) status_answered(uid, then, 200, phase);
 }
 
-double InvariantChecker::used(const std::string& team) const {
+double InvariantChecker::used_cpus(const std::string& team) const {
   const auto it = used_.find(team);
   return it == used_.end() ? 0 : it->second;
 }
--- a/tests/simulation/invariant_checker.hpp
+++ b/tests/simulation/invariant_checker.hpp
@@ -19,18 +19,19 @@
   void asked_to_cancel(const std::string& uid) { jobs_.at(uid).cancel_asked = true; }
   /// What the user of a job has been told of it. An answer to anything that is asked from then on
   /// may be no older: nothing, accepted, final.
-  struct Known {
+  struct KnownStatus {
     bool accepted = false;
     std::string final;
   };
-  Known known(const std::string& uid) const;
+  KnownStatus known(const std::string& uid) const;
   /// The answer to a question or a cancellation that was sent when its user knew `then`.
-  void told(const std::string& uid, const Known& then, int status, const std::string& phase);
-  /// The answer to a submission, likewise.
-  void submission_told(const std::string& uid, const Known& then, int status,
+  void status_answered(const std::string& uid, const KnownStatus& then, int status,
                        const std::string& phase);
+  /// The answer to a submission, likewise.
+  void submission_answered(const std::string& uid, const KnownStatus& then, int status,
+                           const std::string& phase);
   /// Polls of an accepted job have failed for longer than is allowed while others were answered.
-  void unanswered(const std::string& uid) { violated("forgotten", uid); }
+  void status_overdue(const std::string& uid) { violated("forgotten", uid); }
 
   // What happens on machines.
   void started(const std::string& task, const std::string& machine, const std::string& type,
@@ -46,7 +47,7 @@
   }
   /// A machine that hangs executes nothing, so its tasks are not held against anybody until it goes
   /// on.
-  void hanging(const std::string& machine, bool on) {
+  void set_hanging(const std::string& machine, bool on) {
     on ? (void)hanging_.insert(machine) : (void)hanging_.erase(machine);
   }
   /// To be called after each step.
@@ -61,7 +62,7 @@
   /// Tasks that started more than a moment after their job's user was told that it is cancelled.
   std::size_t started_after_cancel() const { return started_after_cancel_; }
   /// CPUs that the team's tasks take now, whoever knows of them.
-  double used(const std::string& team) const;
+  double used_cpus(const std::string& team) const;
   /// The longest after its user was told that the job is cancelled that a task of it was still on a
   /// machine.
   Duration longest_after_cancel() const { return longest_after_cancel_; }
@@ -72,7 +73,7 @@
   };
   struct Job {
     wire::JobSpec spec;
-    Known known;
+    KnownStatus known;
     bool cancel_asked = false;
     Time cancelled_at{};
     std::set<std::uint32_t> completed;
--- a/tests/simulation/simulated_cloud.cpp
+++ b/tests/simulation/simulated_cloud.cpp
@@ -22,7 +22,7 @@
                        {"heldS", net::to_seconds(world_.now() - w.rented).count()}});
   snapshots_.push_front({{"hosts", hosts}, {"truncated", false}});
   if (snapshots_.size() > 2 * kListLag + 1) snapshots_.pop_back();
-  world_.at(1s, [this] { snapshot(); });
+  world_.after(1s, [this] { snapshot(); });
 }
 
 void SimulatedCluster::cloud(const net::HttpRequest& r, const StateService::Answer& answer) {
@@ -58,7 +58,7 @@
                  w.second.spot == spot;
         }));
     json hosts = json::array();
-    for (auto n = body.at("howMany").get<std::size_t>(); n > 0 && have < options_.per_pool;
+    for (auto n = body.at("howMany").get<std::size_t>(); n > 0 && have < options_.machines_per_pool;
          --n, ++have) {
       char text[16];
       std::snprintf(text, sizeof text, "n-%06u", static_cast<unsigned>(next_machine_++));
@@ -70,9 +70,9 @@
       w.address = w.name + ":9000";
       w.rented = world_.now();
       hosts.push_back(w.name);
-      if (!world_.chance(options_.never_up))
-        world_.at(seconds(world_.uniform(options_.boot_least_s, options_.boot_most_s)),
-                  [this, name = w.name] { boot(name); });
+      if (!world_.chance(options_.boot_failure_share))
+        world_.after(seconds(world_.uniform(options_.min_boot_s, options_.max_boot_s)),
+                     [this, name = w.name] { boot(name); });
     }
     if (hosts.empty()) return answer({503, true, R"({"error":"no capacity"})"});
     hires_[name] = {{"hosts", hosts}};
--- a/tests/simulation/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -72,7 +72,7 @@
   }
   auto late = n.late;
   if (side == Side::State) late += state_late_;
-  world_.at(
+  world_.after(
       latency() + (late > 0s ? seconds(world_.uniform(0, net::to_seconds(late).count())) : 0s),
       std::move(deliver));
 }
@@ -85,8 +85,8 @@
     return check_leader();
   }
   if (request.path == "/txn" && writes_late_ > 0 && world_.chance(writes_late_)) {
-    world_.at(seconds(world_.uniform(2, 12)),
-              [this, request] { state_.handle(request, [](net::HttpResult) {}); });
+    world_.after(seconds(world_.uniform(2, 12)),
+                 [this, request] { state_.handle(request, [](net::HttpResult) {}); });
     return;
   }
   if (!request.path.starts_with("/changes")) {
@@ -113,7 +113,7 @@
   if (n.frozen) return void((timer ? n.late_timers : n.unread).push_back(std::move(act)));
   if (n.freeze_next > 0s) {
     n.frozen = true;
-    world_.at(std::exchange(n.freeze_next, 0s), [this, node, start = n.start] {
+    world_.after(std::exchange(n.freeze_next, 0s), [this, node, start = n.start] {
       if (nodes_[node].start == start) wake(node);
     });
   }
@@ -140,7 +140,7 @@
   }
   if (n.line.empty()) return;
   n.in_line = true;
-  world_.at(n.busy_until - world_.now(), [this, node, start = n.start] {
+  world_.after(n.busy_until - world_.now(), [this, node, start = n.start] {
     if (nodes_[node].start == start) work(node);
   });
 }
@@ -197,7 +197,7 @@
     auto d = std::exchange(*once, nullptr);
     d(std::move(r));
   };
-  world_.at(timeout, [finish] { finish({0, true, {}}); });
+  world_.after(timeout, [finish] { finish({0, true, {}}); });
   auto deliver = [this, node, side, request, finish, zone] {
     auto& n = nodes_[node];
     if (!n.controller) return finish({0, false, {}});
@@ -213,12 +213,12 @@
             told_to_wait_ = {};
           };
           if (side == Side::Workers) return link(node, side, back, zone);
-          world_.at(latency(), back);
+          world_.after(latency(), back);
         });
       });
     });
   };
   if (side == Side::Workers) return link(node, side, deliver, zone);
-  world_.at(latency(), deliver);  // users are never cut off by the troubles of these tests
+  world_.after(latency(), deliver);  // users are never cut off by the troubles of these tests
 }
 }  // namespace limemast::simulation
--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -28,17 +28,18 @@
   struct Options {
     std::size_t controllers = 3;
     std::size_t log_size = 10'000;
-    std::size_t per_pool = 4;  ///< machines to be had of each type, zone and kind
-    double lambda_s = 6;       ///< mean time between submissions
-    double back_least_s = 0.5,
-           back_most_s = 15;  ///< after how long a crashed controller is back, in random troubles
-    double fails = 0.04;  ///< share of jobs submitted with a mistake: they fail on every machine
+    std::size_t machines_per_pool = 4;      ///< machines to be had of each type, zone and kind
+    double mean_submission_interval_s = 6;  ///< mean time between submissions
+    double min_restart_s = 0.5,
+           max_restart_s = 15;  ///< after how long a crashed controller is back, in random troubles
+    double failing_job_share =
+        0.04;  ///< share of jobs submitted with a mistake: they fail on every machine
     /// A report because of a change takes the place of the next one by plan, as with real workers;
     /// else it comes in addition.
-    bool one_plan = false;
-    bool scripted = false;                      ///< jobs neither fail nor are cancelled by chance
-    double boot_least_s = 1, boot_most_s = 12;  ///< from a machine's hire until it is up
-    double never_up = 0.03;                     ///< share of machines that never are
+    bool early_heartbeat_replaces_next = false;
+    bool scripted = false;                   ///< jobs neither fail nor are cancelled by chance
+    double min_boot_s = 1, max_boot_s = 12;  ///< from a machine's hire until it is up
+    double boot_failure_share = 0.03;        ///< share of machines that never are
     /// Called for all that leaves a controller; must neither change the cluster nor draw chances.
     Observer observer = nullptr;
   };
@@ -59,12 +60,12 @@
   /// Each thing that a controller does takes this long of its processor, `times` that for this one
   /// for a while: what comes meanwhile waits in line, timers too. Nothing costs anything by
   /// default.
-  void processor(Duration each) {
+  void set_processing_time(Duration each) {
     for (auto& n : nodes_) n.each = each;
   }
-  void slow(std::size_t node, double times, Duration time);
+  void slow_down(std::size_t node, double times, Duration time);
   /// What others say to this controller is lost on the way; what it says arrives.
-  void deafen(std::size_t node, Duration time);
+  void drop_peer_messages_to(std::size_t node, Duration time);
   /// Direct commands to machines are lost for a while: what they are ordered comes with the answers
   /// to their reports.
   void drop_direct_commands(Duration time);
@@ -74,7 +75,7 @@
   /// still lives by then or not.
   void delay_sent(std::size_t node, Duration late, Duration time);
   /// Each call of the state service takes up to `late` longer for a while.
-  void state_slow(Duration late, Duration time);
+  void slow_state_service(Duration late, Duration time);
   /// Nothing crosses the border of the zone; it is held and arrives afterwards.
   void cut_zone(const std::string& zone, Duration time);
   /// Machines stop for good. The cloud lists them as running for 30 s more, then as failed.
@@ -111,7 +112,7 @@
       const std::function<bool(const std::string& name, const std::string& zone)>& which,
       Duration time);
   void cloud_outage(Duration time);
-  void hang(Duration time);
+  void hang_random_machine(Duration time);
   void reclaim_machine(bool notice);
   void make_machine_faulty(Duration time);
   void inject_random_fault();
@@ -132,7 +133,7 @@
   std::set<std::string> terminated_machines() const;
   std::set<std::string> registered_machines() const;
   /// Tasks that were told to stop and did.
-  std::size_t halted() const { return halted_; }
+  std::size_t stopped_tasks() const { return stopped_tasks_; }
   /// A user asks this controller about the job, once; the rules see the answer.
   void query_status(const std::string& uid, std::size_t node);
   /// Machines with a task of this job that has not exited.
@@ -146,12 +147,12 @@
   /// longest of all.
   Duration longest_unanswered() const;
   bool accepted(const std::string& uid) const { return invariants_.known(uid).accepted; }
-  std::string told(const std::string& uid) const { return invariants_.known(uid).final; }
+  std::string final_phase(const std::string& uid) const { return invariants_.known(uid).final; }
   /// A user submits the job once more, at this controller.
   void resubmit(const std::string& uid, std::size_t node);
   /// How long each cancellation took from the first request to its confirmation, the longest of
   /// all.
-  Duration longest_unconfirmed() const { return longest_unconfirmed_; }
+  Duration longest_cancellation() const { return longest_cancellation_; }
   /// Machines whose lease has ended at least once.
   std::size_t leases_lost() const;
   /// Machines that controllers have sent to another one, and reports that a controller gets now.
@@ -266,7 +267,7 @@
   void poll(const std::string& uid);
   void send_cancellation(const std::string& uid);
   /// An answer is taken in: what it newly says is looked at closely, if users do so now.
-  void learn(const std::string& uid, const InvariantChecker::Known& before);
+  void learn(const std::string& uid, const InvariantChecker::KnownStatus& before);
   void query_after_change(const std::string& uid);
   void check_leader();
   void hang_machine(const std::string& name, Duration time);
@@ -291,8 +292,8 @@
   json led_by_;
   int looking_closely_ = 0;
   double cancel_at_once_ = 0, cancel_at_end_ = 0;
-  Duration longest_unconfirmed_{};
-  std::size_t halted_ = 0;
+  Duration longest_cancellation_{};
+  std::size_t stopped_tasks_ = 0;
   void check_waiting_jobs();
   bool has_room_for(const wire::JobSpec& spec) const;
   bool watching_waits_ = false;
--- a/tests/simulation/simulated_runtime.hpp
+++ b/tests/simulation/simulated_runtime.hpp
@@ -19,11 +19,11 @@
   net::WallTime wall() const override { return cluster_.world_.wall(); }
   std::mt19937_64& random() override { return random_; }
   TimerId after(Duration delay, std::function<void()> fire) override {
-    return cluster_.world_.at(delay, guard(true, std::move(fire)));
+    return cluster_.world_.after(delay, guard(true, std::move(fire)));
   }
   void cancel(TimerId id) override { cluster_.world_.cancel(id); }
   void post(std::function<void()> fire) override {
-    cluster_.world_.at(0s, guard(false, std::move(fire)));
+    cluster_.world_.after(0s, guard(false, std::move(fire)));
   }
 
   void http(const net::Endpoint& to, net::HttpRequest request, Duration timeout,
@@ -35,7 +35,7 @@
       auto d = std::exchange(*once, nullptr);
       d(std::move(r));
     };
-    cluster_.world_.at(timeout, guard(true, [finish] { finish({0, true, {}}); }));
+    cluster_.world_.after(timeout, guard(true, [finish] { finish({0, true, {}}); }));
     const auto side = to == cluster_.settings_.state   ? Side::State
                       : to == cluster_.settings_.cloud ? Side::Cloud
                                                        : Side::Workers;
--- a/tests/simulation/simulated_users.cpp
+++ b/tests/simulation/simulated_users.cpp
@@ -35,7 +35,8 @@
 
 void SimulatedCluster::arrive() {
   if (arrivals_) submit(random_job(), world_.chance(0.25));
-  world_.at(seconds(-options_.lambda_s * std::log(world_.uniform(0.01, 1))), [this] { arrive(); });
+  world_.after(seconds(-options_.mean_submission_interval_s * std::log(world_.uniform(0.01, 1))),
+               [this] { arrive(); });
 }
 
 void SimulatedCluster::submit(wire::JobSpec spec, bool cancelled) {
@@ -43,17 +44,19 @@
   auto& job = jobs_[uid];
   job.spec = spec;
   job.run_s = std::max(2.0, spec.estimate.count() * world_.uniform(0.4, 1.6));
-  job.always_fails = !options_.scripted && !spec.service && world_.chance(options_.fails);
+  job.always_fails =
+      !options_.scripted && !spec.service && world_.chance(options_.failing_job_share);
   job.last_answer = world_.now();
   invariants_.submitted(spec);
   send_submission(uid);
   // Services and jobs that always fail run until they are cancelled.
   if (cancelled || (spec.service && !options_.scripted) || job.always_fails)
-    world_.at(seconds(world_.uniform(1, spec.service ? 200 : 60)), [this, uid] { cancel(uid); });
+    world_.after(seconds(world_.uniform(1, spec.service ? 200 : 60)), [this, uid] { cancel(uid); });
   // Nobody submitted this one.
   const auto none = "wk-9" + uid.substr(4);
-  to_controller(world_.below(nodes_.size()), Side::Cloud, {"GET", "/submissions/" + none, {}}, 2s,
-                [this, none](net::HttpResult r) { invariants_.told(none, {}, r.status, ""); });
+  to_controller(
+      world_.below(nodes_.size()), Side::Cloud, {"GET", "/submissions/" + none, {}}, 2s,
+      [this, none](net::HttpResult r) { invariants_.status_answered(none, {}, r.status, ""); });
 }
 
 namespace {
@@ -65,7 +68,7 @@
 constexpr double kCloseApart = 0.012;  ///< seconds within which a close look asks, each round
 }  // namespace
 
-void SimulatedCluster::learn(const std::string& uid, const InvariantChecker::Known& before) {
+void SimulatedCluster::learn(const std::string& uid, const InvariantChecker::KnownStatus& before) {
   const auto now = invariants_.known(uid);
   if (before.accepted == now.accepted && before.final == now.final) return;
   if (looking_closely_ == 0) return;
@@ -79,8 +82,8 @@
       const auto soon = [&] {
         return seconds(world_.uniform(0, kCloseApart) + kCloseApart * round * round);
       };
-      world_.at(soon(), [this, uid, i] { query_status(uid, i); });
-      if (round % 2 == 0) world_.at(soon(), [this, uid, i] { resubmit(uid, i); });
+      world_.after(soon(), [this, uid, i] { query_status(uid, i); });
+      if (round % 2 == 0) world_.after(soon(), [this, uid, i] { resubmit(uid, i); });
     }
 }
 
@@ -90,7 +93,7 @@
                 {"POST", "/submissions", wire::to_json(jobs_.at(uid).spec).dump()}, 5s,
                 [this, uid, then](net::HttpResult r) {
                   const auto before = invariants_.known(uid);
-                  invariants_.submission_told(uid, then, r.status, phase_in(r));
+                  invariants_.submission_answered(uid, then, r.status, phase_in(r));
                   learn(uid, before);
                 });
 }
@@ -102,19 +105,19 @@
                 [this, uid, then](net::HttpResult r) {
                   auto& job = jobs_.at(uid);
                   const auto before = invariants_.known(uid);
-                  invariants_.submission_told(uid, then, r.status, phase_in(r));
+                  invariants_.submission_answered(uid, then, r.status, phase_in(r));
                   learn(uid, before);
                   if (r.status != 200 && r.status != 201) {
                     if (r.status != 400 && r.status != 422)
-                      world_.at(std::max(told_to_wait_, seconds(world_.uniform(1, 2))),
-                                [this, uid] { send_submission(uid); });
+                      world_.after(std::max(told_to_wait_, seconds(world_.uniform(1, 2))),
+                                   [this, uid] { send_submission(uid); });
                     return;
                   }
                   if (std::exchange(job.polled, true)) return;
-                  world_.at(seconds(world_.uniform(0.1, 3)), [this, uid] { poll(uid); });
+                  world_.after(seconds(world_.uniform(0.1, 3)), [this, uid] { poll(uid); });
                   if (world_.chance(0.3))
-                    world_.at(seconds(world_.uniform(1, 40)),
-                              [this, uid] { send_submission(uid); });  // a late repeat
+                    world_.after(seconds(world_.uniform(1, 40)),
+                                 [this, uid] { send_submission(uid); });  // a late repeat
                 });
 }
 
@@ -123,12 +126,12 @@
   to_controller(world_.below(nodes_.size()), Side::Cloud, {"GET", "/submissions/" + uid, {}}, 2s,
                 [this, uid, then](net::HttpResult r) {
                   const auto before = invariants_.known(uid);
-                  invariants_.told(uid, then, r.status, phase_in(r));
+                  invariants_.status_answered(uid, then, r.status, phase_in(r));
                   learn(uid, before);
                   if (r.status == 200) jobs_.at(uid).last_answer = world_.now();
                   const auto again = invariants_.known(uid).final.empty() ? world_.uniform(2, 5)
                                                                           : world_.uniform(20, 60);
-                  world_.at(seconds(again), [this, uid] { poll(uid); });
+                  world_.after(seconds(again), [this, uid] { poll(uid); });
                 });
 }
 
@@ -137,13 +140,13 @@
   to_controller(node, Side::Cloud, {"GET", "/submissions/" + uid, {}}, 2s,
                 [this, uid, then](net::HttpResult r) {
                   const auto before = invariants_.known(uid);
-                  invariants_.told(uid, then, r.status, phase_in(r));
+                  invariants_.status_answered(uid, then, r.status, phase_in(r));
                   learn(uid, before);
                 });
 }
 
 void SimulatedCluster::cancel(const std::string& uid) {
-  if (!invariants_.known(uid).accepted) return void(world_.at(3s, [this, uid] { cancel(uid); }));
+  if (!invariants_.known(uid).accepted) return void(world_.after(3s, [this, uid] { cancel(uid); }));
   if (jobs_.at(uid).cancel_asked == Time{}) jobs_.at(uid).cancel_asked = world_.now();
   invariants_.asked_to_cancel(uid);
   send_cancellation(uid);
@@ -155,13 +158,13 @@
       world_.below(nodes_.size()), Side::Cloud, {"POST", "/submissions/" + uid + "/abort", {}}, 5s,
       [this, uid, then](net::HttpResult r) {
         const auto before = invariants_.known(uid);
-        invariants_.told(uid, then, r.status, phase_in(r));
+        invariants_.status_answered(uid, then, r.status, phase_in(r));
         if (before.final.empty() && r.status == 200)
-          longest_unconfirmed_ =
-              std::max(longest_unconfirmed_, world_.now() - jobs_.at(uid).cancel_asked);
+          longest_cancellation_ =
+              std::max(longest_cancellation_, world_.now() - jobs_.at(uid).cancel_asked);
         learn(uid, before);
         if (r.status != 200)
-          world_.at(seconds(world_.uniform(1, 2)), [this, uid] { send_cancellation(uid); });
+          world_.after(seconds(world_.uniform(1, 2)), [this, uid] { send_cancellation(uid); });
       });
 }
 }  // namespace limemast::simulation
--- a/tests/simulation/simulated_workers.cpp
+++ b/tests/simulation/simulated_workers.cpp
@@ -62,7 +62,7 @@
     const net::HttpRequest request{"POST", "/hello", wire::to_json(account(w)).dump()};
     if (reports_late_ > 0 && world_.chance(reports_late_)) {
       const auto later = seconds(world_.uniform(2, 1.6 * settings_.worker_lease.count()));
-      world_.at(later, [this, request, to = world_.below(nodes_.size()), zone = w.zone] {
+      world_.after(later, [this, request, to = world_.below(nodes_.size()), zone = w.zone] {
         to_controller(
             to, Side::Workers, request, 4s, [](net::HttpResult) {}, zone);
       });
@@ -75,7 +75,7 @@
           when_awake(name, [=, this](Worker& w) {
             if (w.in_flight != flight) return;
             if (w.deaf > 0) {  // the answer is lost on the way
-              world_.at(std::max(Duration::zero(), sent + 4s - world_.now()), [=, this] {
+              world_.after(std::max(Duration::zero(), sent + 4s - world_.now()), [=, this] {
                 when_awake(name, [=, this](Worker& w) {
                   if (w.in_flight == flight) unheard(w);
                 });
@@ -118,9 +118,10 @@
 
 /// Its next report by itself.
 void SimulatedCluster::send_heartbeat_after(Worker& w, Duration delay) {
-  world_.at(delay, [this, name = w.name, plan = ++w.plan] {
+  world_.after(delay, [this, name = w.name, plan = ++w.plan] {
     if (auto it = workers_.find(name);
-        it != workers_.end() && (!options_.one_plan || it->second.plan == plan))
+        it != workers_.end() &&
+        (!options_.early_heartbeat_replaces_next || it->second.plan == plan))
       report(name);
   });
 }
@@ -136,7 +137,7 @@
 }
 
 void SimulatedCluster::send_heartbeat_soon(Worker& w) {
-  world_.at(500ms, [this, name = w.name] { report(name); });
+  world_.after(500ms, [this, name = w.name] { report(name); });
 }
 
 void SimulatedCluster::end_task(Worker& w, Task& t, wire::ExitCause cause) {
@@ -171,7 +172,7 @@
       for (auto& [where, t] : gang) start_task(*where, *t);
       return;
     }
-    world_.at(kGangWait, [this, name = w.name, serial] {
+    world_.after(kGangWait, [this, name = w.name, serial] {
       when_awake(name, [this, serial](Worker& w) {
         auto t = std::find_if(w.tasks.begin(), w.tasks.end(),
                               [&](auto& x) { return x.serial == serial; });
@@ -192,7 +193,7 @@
   const bool fails = w.sick || job.always_fails;
   if (job.spec.service && !fails) return;
   const auto time = seconds(fails ? 0.3 : job.run_s * world_.uniform(0.7, 1.4));
-  world_.at(time, [this, name = w.name, serial, fails] {
+  world_.after(time, [this, name = w.name, serial, fails] {
     when_awake(name, [this, serial, fails](Worker& w) {
       auto t =
           std::find_if(w.tasks.begin(), w.tasks.end(), [&](auto& x) { return x.serial == serial; });
@@ -212,7 +213,7 @@
       if (it != w.tasks.end() && it->phase == wire::TaskPhase::Exited) w.tasks.erase(it);
     } else if (o.kind == wire::CommandKind::Stop) {
       if (it == w.tasks.end() || it->phase == wire::TaskPhase::Exited) continue;
-      ++halted_;
+      ++stopped_tasks_;
       end_task(w, *it, wire::ExitCause::Halted);
     } else if (it == w.tasks.end()) {
       invariants_.ordered(o.uid);
@@ -236,7 +237,8 @@
         w.tasks.push_back(t);
         const auto fetch =
             w.images.contains(job->second.spec.image) ? 0s : seconds(world_.uniform(0.5, 4));
-        world_.at(fetch, [this, name = w.name, serial = t.serial] { image_ready(name, serial); });
+        world_.after(fetch,
+                     [this, name = w.name, serial = t.serial] { image_ready(name, serial); });
       }
       send_heartbeat_soon(w);
     }
--- a/tests/simulation/simulated_world.hpp
+++ b/tests/simulation/simulated_world.hpp
@@ -21,7 +21,7 @@
            std::chrono::duration_cast<net::WallTime::duration>(now_ - start());
   }
   static Time start() { return Time(1000s); }
-  std::uint64_t at(Duration delay, std::function<void()> fire) {
+  std::uint64_t after(Duration delay, std::function<void()> fire) {
     const auto id = next_++;
     const auto when = now_ + std::max(delay, Duration::zero());
     events_.emplace(std::pair{when, id}, std::move(fire));
--- a/tests/simulation/simulation_test.cpp
+++ b/tests/simulation/simulation_test.cpp
@@ -32,9 +32,9 @@
   SimulatedWorld world(GetParam());
   SimulatedCluster::Options options;
   if (GetParam() % 3 == 0) options.log_size = 60;  // watches fall behind: 410 and a new listing
-  options.per_pool = 4 + world.below(3);           // up to half as many machines again
+  options.machines_per_pool = 4 + world.below(3);  // up to half as many machines again
   if (GetParam() % 2 == 0)
-    options.back_least_s = 0, options.back_most_s = 3;  // controllers that are back at once
+    options.min_restart_s = 0, options.max_restart_s = 3;  // controllers that are back at once
   SimulatedCluster cluster(world, settings_for_tests(), options);
   cluster.run(30s);
   const double mean = GetParam() % 2 == 0 ? 12 : 25;
@@ -106,7 +106,7 @@
     SimulatedWorld world(seed);
     auto settings = settings_for_tests();
     settings.tuning.idle_return = wire::Seconds(300);
-    SimulatedCluster cluster(world, settings, {.per_pool = 1, .scripted = true});
+    SimulatedCluster cluster(world, settings, {.machines_per_pool = 1, .scripted = true});
     cluster.stop_arrivals();
     cluster.run(5s);
     auto only_there = [&](std::uint32_t tasks) {  // one machine in the world may run it
@@ -190,7 +190,7 @@
     auto settings = settings_for_tests();
     settings.teams = {{"red", {}}, {"blue", {}}};
     settings.tuning.short_share = 0.17;
-    SimulatedCluster cluster(world, settings, {.fails = 0});
+    SimulatedCluster cluster(world, settings, {.failing_job_share = 0});
     cluster.stop_arrivals();
     cluster.run(60s);
     finish_first_job(cluster);
@@ -300,7 +300,7 @@
   const auto owner = cluster_.leader();
   cluster_.freeze(owner, 6s);
   cluster_.run(2s);
-  const auto before = cluster_.state().handled();
+  const auto before = cluster_.state().request_count();
   int told = 0;
   for (int i = 0; i < 500; ++i) {
     cluster_.ask((owner + 1) % 3, {"GET", "/submissions/" + spec.uid, {}},
@@ -309,7 +309,7 @@
   }
   cluster_.run(1s);
   EXPECT_EQ(told, 500);
-  EXPECT_LT(cluster_.state().handled() - before, 60u);
+  EXPECT_LT(cluster_.state().request_count() - before, 60u);
 }
 
 // Where no team has a guarantee, work of low rank that nobody expects by any time gives way to that
@@ -358,8 +358,8 @@
   SimulatedWorld world_{1};
   wire::Settings settings_ = settings_for_tests();
   InvariantChecker invariants_{world_, settings_};
-  InvariantChecker::Known accepted_{true,
-                                    {}};  ///< what a user knows that was told of the acceptance
+  InvariantChecker::KnownStatus accepted_{
+      true, {}};  ///< what a user knows that was told of the acceptance
   wire::JobSpec spec_;
 };
 
@@ -395,7 +395,7 @@
 TEST_F(PlantedViolation, RanCancelled) {
   invariants_.started("wk-000001/0", "m1", "small", "a", false);
   invariants_.asked_to_cancel("wk-000001");
-  invariants_.told("wk-000001", {}, 200, "cancelled");
+  invariants_.status_answered("wk-000001", {}, 200, "cancelled");
   world_.step(SimulatedWorld::start() + net::to_duration(settings_.cancel_timeout));
   invariants_.check_time();
   EXPECT_TRUE(invariants_.violations().empty());
@@ -404,30 +404,30 @@
   EXPECT_TRUE(violated("ran_cancelled"));
 }
 TEST_F(PlantedViolation, Forgotten) {
-  invariants_.told("wk-000001", accepted_, 404, "");
+  invariants_.status_answered("wk-000001", accepted_, 404, "");
   EXPECT_TRUE(violated("forgotten"));
 }
 TEST_F(PlantedViolation, ForgottenOnRepeat) {
-  invariants_.submission_told("wk-000001", accepted_, 422, "");
+  invariants_.submission_answered("wk-000001", accepted_, 422, "");
   EXPECT_TRUE(violated("forgotten"));
 }
 TEST_F(PlantedViolation, Invented) {
-  invariants_.told("wk-000077", {}, 404, "");
+  invariants_.status_answered("wk-000077", {}, 404, "");
   EXPECT_TRUE(invariants_.violations().empty());
-  invariants_.told("wk-000077", {}, 200, "pending");
+  invariants_.status_answered("wk-000077", {}, 200, "pending");
   EXPECT_TRUE(violated("invented"));
 }
 TEST_F(PlantedViolation, NotDone) {
   invariants_.completed("wk-000001", 0);
-  invariants_.told("wk-000001", {}, 200, "done");
+  invariants_.status_answered("wk-000001", {}, 200, "done");
   EXPECT_TRUE(violated("not_done"));
 }
 TEST_F(PlantedViolation, WentBack) {
   invariants_.completed("wk-000001", 0);
   invariants_.completed("wk-000001", 1);
-  invariants_.told("wk-000001", {}, 200, "done");
+  invariants_.status_answered("wk-000001", {}, 200, "done");
   EXPECT_TRUE(invariants_.violations().empty());
-  invariants_.told("wk-000001", invariants_.known("wk-000001"), 200, "running");
+  invariants_.status_answered("wk-000001", invariants_.known("wk-000001"), 200, "running");
   EXPECT_TRUE(violated("went_back"));
 }
 // Asked before the end was told: it may have been overtaken on the network. Asked afterwards, at
@@ -436,29 +436,29 @@
   invariants_.completed("wk-000001", 0);
   invariants_.completed("wk-000001", 1);
   const auto before = invariants_.known("wk-000001");
-  invariants_.told("wk-000001", before, 200, "done");
-  invariants_.told("wk-000001", before, 200, "running");
+  invariants_.status_answered("wk-000001", before, 200, "done");
+  invariants_.status_answered("wk-000001", before, 200, "running");
   EXPECT_TRUE(invariants_.violations().empty());
-  invariants_.told("wk-000001", invariants_.known("wk-000001"), 200, "pending");
+  invariants_.status_answered("wk-000001", invariants_.known("wk-000001"), 200, "pending");
   EXPECT_TRUE(violated("went_back"));
 }
 TEST_F(PlantedViolation, TwoEnds) {
   invariants_.completed("wk-000001", 0);
   invariants_.completed("wk-000001", 1);
   invariants_.asked_to_cancel("wk-000001");
-  invariants_.told("wk-000001", {}, 200, "cancelled");
-  invariants_.told("wk-000001", {}, 200, "done");
+  invariants_.status_answered("wk-000001", {}, 200, "cancelled");
+  invariants_.status_answered("wk-000001", {}, 200, "done");
   EXPECT_TRUE(violated("went_back"));
 }
 TEST_F(PlantedViolation, KnownByAQuestionAlone) {
-  invariants_.told("wk-000003", {}, 200, "pending");
-  invariants_.told("wk-000003", invariants_.known("wk-000003"), 404, "");
+  invariants_.status_answered("wk-000003", {}, 200, "pending");
+  invariants_.status_answered("wk-000003", invariants_.known("wk-000003"), 404, "");
   EXPECT_TRUE(violated("forgotten"));
 }
 TEST_F(PlantedViolation, AcceptedAnew) {
-  invariants_.submission_told("wk-000003", {}, 201, "pending");
+  invariants_.submission_answered("wk-000003", {}, 201, "pending");
   EXPECT_TRUE(invariants_.violations().empty());
-  invariants_.submission_told("wk-000003", invariants_.known("wk-000003"), 201, "pending");
+  invariants_.submission_answered("wk-000003", invariants_.known("wk-000003"), 201, "pending");
   EXPECT_TRUE(violated("went_back"));
 }
 /// What is counted, and breaks no rule by itself.
@@ -468,7 +468,7 @@
 };
 TEST_F(Counted, StartedAfterCancel) {
   invariants_.asked_to_cancel("wk-000001");
-  invariants_.told("wk-000001", {}, 200, "cancelled");
+  invariants_.status_answered("wk-000001", {}, 200, "cancelled");
   invariants_.started("wk-000001/0", "m1", "small", "a", false);
   EXPECT_EQ(invariants_.started_after_cancel(), 0u);  // on its way
   world_.step(SimulatedWorld::start() + 1s);
@@ -476,7 +476,7 @@
   EXPECT_EQ(invariants_.started_after_cancel(), 1u);
 }
 TEST_F(PlantedViolation, CancelledUnasked) {
-  invariants_.told("wk-000001", {}, 200, "cancelled");
+  invariants_.status_answered("wk-000001", {}, 200, "cancelled");
   EXPECT_TRUE(violated("went_back"));
 }
 }  // namespace
--- a/tests/simulation/state_service.cpp
+++ b/tests/simulation/state_service.cpp
@@ -39,13 +39,13 @@
   if (entries_.erase(key) > 0) log({key, mod_revision, true, {}});
 }
 
-std::vector<StateService::Kept> StateService::content() const {
-  std::vector<Kept> out;
+std::vector<StateService::StoredKey> StateService::content() const {
+  std::vector<StoredKey> out;
   for (const auto& [key, e] : entries_) out.push_back({key, e.value, e.mod_revision, e.lease != 0});
   return out;
 }
 
-void StateService::restore(const std::vector<Kept>& content, std::uint64_t revision,
+void StateService::restore(const std::vector<StoredKey>& content, std::uint64_t revision,
                            Duration granted_for) {
   const auto lease = next_lease_++;
   leases_[lease] = {granted_for, world_.now() + granted_for};
@@ -91,7 +91,7 @@
 }
 
 void StateService::handle(const net::HttpRequest& r, Answer answer) {
-  ++handled_;
+  ++request_count_;
   check_leases();
   const auto body = json::parse(r.body, nullptr, false);
   const auto path = r.path.substr(0, r.path.find('?'));
@@ -101,12 +101,13 @@
     Watch w{parameter(r.path, "prefix"), std::stoull(parameter(r.path, "from")), std::move(answer)};
     if (try_watch(w, false)) return;
     watches_.emplace(id, std::move(w));
-    world_.at(std::chrono::milliseconds(std::stoll("0" + parameter(r.path, "waitMs"))), [this, id] {
-      auto it = watches_.find(id);
-      if (it == watches_.end() || outage_) return;
-      try_watch(it->second, true);
-      watches_.erase(it);
-    });
+    world_.after(std::chrono::milliseconds(std::stoll("0" + parameter(r.path, "waitMs"))),
+                 [this, id] {
+                   auto it = watches_.find(id);
+                   if (it == watches_.end() || outage_) return;
+                   try_watch(it->second, true);
+                   watches_.erase(it);
+                 });
   } else if (path == "/keys") {
     const auto prefix = parameter(r.path, "prefix");
     const auto from = parameter(r.path, "from");
@@ -155,9 +156,9 @@
     const auto& key = w.contains("remove") ? w["remove"] : w.at("set");
     const auto& when = body.at("when");
     if (std::none_of(when.begin(), when.end(), [&](const json& c) { return c.at("key") == key; }))
-      unguarded_.insert(key.get<std::string>());
+      unconditionally_written_keys_.insert(key.get<std::string>());
   }
-  written_ += body.at("writes").size();
+  write_count_ += body.at("writes").size();
   json failed = json::array();
   for (const auto& c : body.at("when")) {
     auto it = entries_.find(c.at("key").get<std::string>());
--- a/tests/simulation/state_service.hpp
+++ b/tests/simulation/state_service.hpp
@@ -14,33 +14,36 @@
 
   void handle(const net::HttpRequest& request, Answer answer);
   void set_outage(bool on);
-  std::size_t handled() const { return handled_; }
+  std::size_t request_count() const { return request_count_; }
   /// Puts and deletes that transactions asked for, carried out or not, as the service's limit
   /// counts them.
-  std::size_t written() const { return written_; }
+  std::size_t write_count() const { return write_count_; }
   /// Keys that some transaction wrote without a condition on them: carried out late, it would
   /// replace what is newer.
-  const std::set<std::string>& unguarded() const { return unguarded_; }
+  const std::set<std::string>& unconditionally_written_keys() const {
+    return unconditionally_written_keys_;
+  }
   std::size_t keys() const { return entries_.size(); }
   const json* value(const std::string& key) const {
     auto it = entries_.find(key);
     return it == entries_.end() ? nullptr : &it->second.value;
   }
-  void each(const std::function<void(const std::string& key, const json& value)>& look) const {
+  void for_each_key(
+      const std::function<void(const std::string& key, const json& value)>& look) const {
     for (const auto& [key, e] : entries_) look(key, e.value);
   }
   /// A key as another state service held it.
-  struct Kept {
+  struct StoredKey {
     std::string key;
     json value;
     std::uint64_t mod_revision = 0;
     bool granted = false;  ///< it stands only as long as the grant of whoever wrote it
   };
-  std::vector<Kept> content() const;
+  std::vector<StoredKey> content() const;
   std::uint64_t revision() const { return revision_; }
   /// Takes over what another one held, before anybody asks. Grants end after `granted_for`: who had
   /// them is no more.
-  void restore(const std::vector<Kept>& content, std::uint64_t revision, Duration granted_for);
+  void restore(const std::vector<StoredKey>& content, std::uint64_t revision, Duration granted_for);
   /// Writes from outside, as any client could.
   void put(const std::string& key, json value) {
     apply(key, std::move(value), 0, ++revision_), wake();
@@ -79,9 +82,9 @@
 
   SimulatedWorld& world_;
   std::size_t log_size_;
-  std::size_t handled_ = 0;
-  std::size_t written_ = 0;
-  std::set<std::string> unguarded_;
+  std::size_t request_count_ = 0;
+  std::size_t write_count_ = 0;
+  std::set<std::string> unconditionally_written_keys_;
   bool outage_ = false;
   std::uint64_t revision_ = 0;
   std::uint64_t next_lease_ = 1;
--- a/tests/store/watch_cache_test.cpp
+++ b/tests/store/watch_cache_test.cpp
@@ -18,23 +18,23 @@
   net::WallTime wall() const override { return world_.wall(); }
   std::mt19937_64& random() override { return random_; }
   TimerId after(net::Duration delay, std::function<void()> fire) override {
-    return world_.at(delay, std::move(fire));
+    return world_.after(delay, std::move(fire));
   }
   void cancel(TimerId id) override { world_.cancel(id); }
-  void post(std::function<void()> fire) override { world_.at(0s, std::move(fire)); }
+  void post(std::function<void()> fire) override { world_.after(0s, std::move(fire)); }
   void http(const net::Endpoint&, net::HttpRequest request, net::Duration timeout,
             std::function<void(net::HttpResult)> done) override {
     auto once = std::make_shared<std::function<void(net::HttpResult)>>(std::move(done));
     auto finish = [once](net::HttpResult result) {
       if (*once) std::exchange(*once, nullptr)(std::move(result));
     };
-    world_.at(timeout, [finish] { finish({0, true, {}}); });
+    world_.after(timeout, [finish] { finish({0, true, {}}); });
     if (cut) return;
     ++requests;
-    world_.at(kLatency, [this, request, finish] {
+    world_.after(kLatency, [this, request, finish] {
       service_.handle(request,
                       [this, finish, latency = answer_latency(request)](net::HttpResult result) {
-                        if (!cut) world_.at(latency, [finish, result] { finish(result); });
+                        if (!cut) world_.after(latency, [finish, result] { finish(result); });
                       });
     });
   }
