--- a/tests/compat/fault_day.cpp
+++ b/tests/compat/fault_day.cpp
@@ -322,7 +322,7 @@
       for (auto side : {Side::State, Side::Peers}) cluster_.cut(node, side, false, time);
       return;
     case 7:
-      return cluster_.delay_sent(node, between(0.2, 1.5), time);
+      return cluster_.delay_links(node, between(0.2, 1.5), time);
     case 8:
       return cluster_.cut_zone(settings_.zones[world_.below(settings_.zones.size())], time);
     default:
--- a/tests/fault_interactions/capacity_test.cpp
+++ b/tests/fault_interactions/capacity_test.cpp
@@ -111,7 +111,7 @@
 // There is more work than room, urgent and not, over slow links: all is done in the end, the urgent
 // early, and none is lost or runs twice.
 TEST_P(MoreWorkThanCapacity, FinishesUrgentJobsFirst) {
-  for (std::size_t i = 0; i < 3; ++i) cluster_.delay_sent(i, seconds(s(0.2, 1.2)), 200s);
+  for (std::size_t i = 0; i < 3; ++i) cluster_.delay_links(i, seconds(s(0.2, 1.2)), 200s);
   std::vector<std::string> urgent, other;
   for (int i = 0; i < 60; ++i) {
     auto spec = plain(cluster_, false, 6, i % 2 ? "red" : "blue", i % 5 ? 15 : 70);
--- a/tests/fault_interactions/random_faults.hpp
+++ b/tests/fault_interactions/random_faults.hpp
@@ -77,7 +77,7 @@
         return cluster_.hang_machines(cluster_.machines_with(doomed[world_.below(doomed.size())]),
                                       seconds(s(2, 15)));
       case 21:
-        for (std::size_t i = 0; i < 3; ++i) cluster_.delay_sent(i, seconds(s(0.2, 1.5)), time);
+        for (std::size_t i = 0; i < 3; ++i) cluster_.delay_links(i, seconds(s(0.2, 1.5)), time);
         return;
       default:
         return cluster_.kill_machines(1 + world_.below(4));
--- a/tests/simulation/injected_faults.cpp
+++ b/tests/simulation/injected_faults.cpp
@@ -7,7 +7,7 @@
 #include "simulation/simulation_constants.hpp"
 
 namespace limemast::simulation {
-void SimulatedCluster::delay_sent(std::size_t node, Duration late, Duration time) {
+void SimulatedCluster::delay_links(std::size_t node, Duration late, Duration time) {
   nodes_[node].late = late;
   world_.after(time, [this, node] { nodes_[node].late = {}; });
 }
--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -73,7 +73,7 @@
   void lose_messages(const std::string& kind, Duration time);
   /// What this controller sends for a while arrives up to `late` later, in any order, whether it
   /// still lives by then or not.
-  void delay_sent(std::size_t node, Duration late, Duration time);
+  void delay_links(std::size_t node, Duration late, Duration time);
   /// Each call of the state service takes up to `late` longer for a while.
   void slow_state_service(Duration late, Duration time);
   /// Nothing crosses the border of the zone; it is held and arrives afterwards.
