--- a/tests/simulation/cluster_queries.cpp
+++ b/tests/simulation/cluster_queries.cpp
@@ -1,4 +1,4 @@
-// What tests ask of the simulated cluster.
+// Queries of the simulated cluster's state for tests.
 #include <algorithm>
 #include <cmath>
 
@@ -17,7 +17,7 @@
 std::set<std::string> SimulatedCluster::terminated_machines() const {
   std::set<std::string> out;
   for (const auto& [name, w] : workers_)
-    if (w.gone) out.insert(name);
+    if (w.terminated) out.insert(name);
   return out;
 }
 
@@ -40,30 +40,31 @@
 void SimulatedCluster::watch_waiting_jobs() {
   longest_wait_ = {};
   waiting_since_.clear();
-  if (!std::exchange(watching_waits_, true)) check_waiting_jobs();
+  if (!std::exchange(watching_waiting_jobs_, true)) check_waiting_jobs();
 }
 
 bool SimulatedCluster::has_room_for(const wire::JobSpec& s) const {
-  const double most = settings_.teams.at(s.team).cpus_max;
-  if (most > 0 && invariants_.used_cpus(s.team) + s.cpus > most + 1e-6) return false;
+  const double limit_cpus = settings_.teams.at(s.team).cpus_max;
+  if (limit_cpus > 0 && invariants_.used_cpus(s.team) + s.cpus > limit_cpus + 1e-6) return false;
   return std::any_of(workers_.begin(), workers_.end(), [&](const auto& entry) {
     const auto& w = entry.second;
-    return w.up && !w.hung && !w.preemption_notice && !w.sick && w.deaf == 0 && w.mute == 0 &&
-           s.allows_type(w.type) && (!s.zone || *s.zone == w.zone) && (s.spot || !w.spot) &&
-           free_cpus(w) + 1e-6 >= s.cpus;
+    return w.up && !w.hung && !w.preemption_notice && !w.faulty && w.inbound_blocked == 0 &&
+           w.heartbeats_blocked == 0 && s.allows_type(w.type) && (!s.zone || *s.zone == w.zone) &&
+           (s.spot || !w.spot) && free_cpus(w) + 1e-6 >= s.cpus;
   });
 }
 
 void SimulatedCluster::check_waiting_jobs() {
-  std::map<std::string, std::uint32_t> there;
+  std::map<std::string, std::uint32_t> unexited_tasks;
   for (const auto& [name, w] : workers_)
-    for (const auto& t : w.tasks) there[t.uid] += t.phase != wire::TaskPhase::Exited;
+    for (const auto& t : w.tasks) unexited_tasks[t.uid] += t.phase != wire::TaskPhase::Exited;
   for (const auto& [uid, job] : jobs_) {
     const auto known = invariants_.known(uid);
     const auto& s = job.spec;
     const bool waits = known.accepted && known.final.empty() && !job.always_fails &&
-                       job.cancel_asked == Time{} && !s.spread && !s.one_zone && !s.gang &&
-                       invariants_.completed(uid) + there[uid] < s.tasks && has_room_for(s);
+                       job.cancel_requested_at == Time{} && !s.spread && !s.one_zone && !s.gang &&
+                       invariants_.completed(uid) + unexited_tasks[uid] < s.tasks &&
+                       has_room_for(s);
     if (!waits) {
       waiting_since_.erase(uid);
       continue;
@@ -78,7 +79,7 @@
   Duration out{};
   for (const auto& [uid, job] : jobs_)
     if (const auto known = invariants_.known(uid); known.accepted && known.final.empty())
-      out = std::max(out, world_.now() - job.last_answer);
+      out = std::max(out, world_.now() - job.last_answer_at);
   return out;
 }
 
@@ -88,14 +89,15 @@
 }
 
 std::size_t SimulatedCluster::machines_of(std::size_t node) const {
-  return static_cast<std::size_t>(std::count_if(
-      workers_.begin(), workers_.end(),
-      [&](const auto& w) { return w.second.up && !w.second.gone && w.second.home == node; }));
+  return static_cast<std::size_t>(
+      std::count_if(workers_.begin(), workers_.end(), [&](const auto& w) {
+        return w.second.up && !w.second.terminated && w.second.heartbeat_target == node;
+      }));
 }
 
 std::size_t SimulatedCluster::messages(const std::string& kind) const {
-  const auto it = messages_.find(kind);
-  return it == messages_.end() ? 0 : it->second;
+  const auto it = messages_sent_.find(kind);
+  return it == messages_sent_.end() ? 0 : it->second;
 }
 
 std::size_t SimulatedCluster::up_machines() const {
--- a/tests/simulation/injected_faults.cpp
+++ b/tests/simulation/injected_faults.cpp
@@ -1,4 +1,4 @@
-// Faults that tests and random days inject into the simulated cluster.
+// Faults that tests inject into the simulated cluster.
 #include <algorithm>
 #include <cmath>
 
@@ -7,44 +7,50 @@
 #include "simulation/simulation_constants.hpp"
 
 namespace limemast::simulation {
-void SimulatedCluster::delay_links(std::size_t node, Duration late, Duration time) {
-  nodes_[node].late = late;
-  world_.after(time, [this, node] { nodes_[node].late = {}; });
+namespace {
+// Time from the notice of a preemption to the end of the machine.
+constexpr auto kPreemptionNotice = 5s;
+}  // namespace
+
+void SimulatedCluster::delay_links(std::size_t node, Duration max_delay, Duration time) {
+  nodes_[node].max_link_delay = max_delay;
+  world_.after(time, [this, node] { nodes_[node].max_link_delay = {}; });
 }
 
 void SimulatedCluster::reject_at_store(std::size_t node, Duration time) {
-  ++nodes_[node].refused;
-  world_.after(time, [this, node] { --nodes_[node].refused, release_watches(node); });
+  ++nodes_[node].rejected_by_store;
+  world_.after(time, [this, node] { --nodes_[node].rejected_by_store, release_watches(node); });
 }
 
 void SimulatedCluster::stall_watches(std::size_t node, Duration time) {
-  ++nodes_[node].stalled;
-  world_.after(time, [this, node] { --nodes_[node].stalled, release_watches(node); });
+  ++nodes_[node].watches_stalled;
+  world_.after(time, [this, node] { --nodes_[node].watches_stalled, release_watches(node); });
 }
 
-void SimulatedCluster::delay_transactions(double share, Duration time, bool at_once) {
-  auto& which = at_once ? answers_lost_ : writes_late_;
-  which = share;
-  world_.after(time, [&which] { which = 0; });
+void SimulatedCluster::delay_transactions(double share, Duration time, bool execute_at_once) {
+  auto& affected_share =
+      execute_at_once ? lost_transaction_answer_share_ : delayed_transaction_share_;
+  affected_share = share;
+  world_.after(time, [&affected_share] { affected_share = 0; });
 }
 
 void SimulatedCluster::replay_heartbeats_at_next_leader(double share, Duration time) {
-  kept_for_next_ = share;
-  world_.after(time, [this] { kept_for_next_ = 0, for_next_.clear(); });
+  replayed_heartbeat_share_ = share;
+  world_.after(time, [this] { replayed_heartbeat_share_ = 0, heartbeats_to_replay_.clear(); });
 }
 
-/// A new leader begins: the copies that were kept for it reach every controller within a second or
-/// two.
-void SimulatedCluster::check_leader() {
+/// If the recorded leader changed, sends each saved heartbeat to every controller within 2 s.
+void SimulatedCluster::replay_heartbeats_to_new_leader() {
   const auto* epoch = state_.value(cluster::keys::kEpoch);
-  const auto led_by = epoch && epoch->is_object() ? epoch->value("leader", json()) : json();
-  if (led_by == led_by_) return;
-  led_by_ = led_by;
-  for (const auto& [machine, copy] : std::exchange(for_next_, {}))
+  const auto current_leader = epoch && epoch->is_object() ? epoch->value("leader", json()) : json();
+  if (current_leader == last_leader_) return;
+  last_leader_ = current_leader;
+  for (const auto& [machine, heartbeat] : std::exchange(heartbeats_to_replay_, {}))
     for (std::size_t i = 0; i < nodes_.size(); ++i)
-      world_.after(seconds(world_.uniform(0, 2)), [this, copy = copy, i] {
+      world_.after(seconds(world_.uniform(0, 2)), [this, heartbeat = heartbeat, i] {
         to_controller(
-            i, Side::Workers, copy.request, 4s, [](net::HttpResult) {}, copy.zone);
+            i, Side::Workers, heartbeat.request, kHeartbeatTimeout, [](net::HttpResult) {},
+            heartbeat.zone);
       });
 }
 
@@ -52,89 +58,92 @@
     const std::function<bool(const std::string&, const std::string&)>& which, Duration time) {
   for (auto& [name, w] : workers_) {
     if (!w.up || !which(name, w.zone)) continue;
-    ++w.mute;
-    world_.after(time, [this, name = name] { --workers_.at(name).mute; });
+    ++w.heartbeats_blocked;
+    world_.after(time, [this, name = name] { --workers_.at(name).heartbeats_blocked; });
   }
 }
 
 void SimulatedCluster::query_concurrently(Duration time, double cancel_at_once) {
-  ++looking_closely_;
-  cancel_at_once_ = cancel_at_once;
-  world_.after(time, [this] { --looking_closely_; });
+  ++concurrent_query_faults_;
+  cancel_after_accept_share_ = cancel_at_once;
+  world_.after(time, [this] { --concurrent_query_faults_; });
 }
 
 void SimulatedCluster::cancel_at_end(double share, Duration time) {
-  cancel_at_end_ = share;
-  world_.after(time, [this] { cancel_at_end_ = 0; });
+  cancel_at_end_share_ = share;
+  world_.after(time, [this] { cancel_at_end_share_ = 0; });
 }
 
 void SimulatedCluster::duplicate_heartbeats_late(double share, Duration time) {
-  reports_late_ = share;
-  world_.after(time, [this] { reports_late_ = 0; });
+  duplicated_heartbeat_share_ = share;
+  world_.after(time, [this] { duplicated_heartbeat_share_ = 0; });
 }
 
 void SimulatedCluster::block_inbound_to_machines(
     const std::function<bool(const std::string&, const std::string&)>& which, Duration time) {
   for (auto& [name, w] : workers_) {
     if (!w.up || !which(name, w.zone)) continue;
-    ++w.deaf;
-    world_.after(time, [this, name = name] { --workers_.at(name).deaf; });
+    ++w.inbound_blocked;
+    world_.after(time, [this, name = name] { --workers_.at(name).inbound_blocked; });
   }
 }
 
 void SimulatedCluster::drop_direct_commands(Duration time) {
-  direct_lost_ = true;
-  world_.after(time, [this] { direct_lost_ = false; });
+  direct_commands_dropped_ = true;
+  world_.after(time, [this] { direct_commands_dropped_ = false; });
 }
 
 void SimulatedCluster::lose_messages(const std::string& kind, Duration time) {
-  lost_kinds_.insert(kind);
-  world_.after(time, [this, kind] { lost_kinds_.erase(kind); });
+  dropped_message_kinds_.insert(kind);
+  world_.after(time, [this, kind] { dropped_message_kinds_.erase(kind); });
 }
 
-void SimulatedCluster::slow_state_service(Duration late, Duration time) {
-  state_late_ = late;
-  world_.after(time, [this] { state_late_ = {}; });
+void SimulatedCluster::slow_state_service(Duration max_delay, Duration time) {
+  max_state_delay_ = max_delay;
+  world_.after(time, [this] { max_state_delay_ = {}; });
 }
 
-void SimulatedCluster::freeze(std::size_t node, Duration time) { nodes_[node].freeze_next = time; }
+void SimulatedCluster::freeze(std::size_t node, Duration time) {
+  nodes_[node].freeze_at_next_callback = time;
+}
 
-void SimulatedCluster::slow_down(std::size_t node, double times, Duration time) {
-  nodes_[node].times = times;
-  world_.after(time, [this, node] { nodes_[node].times = 1; });
+void SimulatedCluster::slow_down(std::size_t node, double factor, Duration time) {
+  nodes_[node].slowdown = factor;
+  world_.after(time, [this, node] { nodes_[node].slowdown = 1; });
 }
 
-void SimulatedCluster::crash(std::size_t node, Duration back_after) {
+void SimulatedCluster::crash(std::size_t node, Duration restart_after) {
   auto& n = nodes_[node];
   if (!n.controller) return;
   n.controller.reset();
   n.runtime.reset();
-  world_.after(back_after, [this, node] { start(node); });
+  world_.after(restart_after, [this, node] { start(node); });
 }
 
 void SimulatedCluster::cut(std::size_t node, Side side, bool hold, Duration time) {
   auto& n = nodes_[node];
   ++n.cut[side];
-  n.hold = hold;
+  n.hold_while_cut = hold;
   world_.after(time, [this, node, side] {
     auto& n = nodes_[node];
     if (--n.cut[side] > 0) return;
-    for (auto& deliver : std::exchange(n.held[side], {}))
+    for (auto& deliver : std::exchange(n.held_deliveries[side], {}))
       world_.after(latency(), std::move(deliver));
   });
 }
 
 void SimulatedCluster::drop_peer_messages_to(std::size_t node, Duration time) {
-  nodes_[node].deaf = true;
-  world_.after(time, [this, node] { nodes_[node].deaf = false; });
+  nodes_[node].drops_peer_messages = true;
+  world_.after(time, [this, node] { nodes_[node].drops_peer_messages = false; });
 }
 
 void SimulatedCluster::cut_zone(const std::string& zone, Duration time) {
-  if (!cut_zone_.empty()) return;
-  cut_zone_ = zone;
+  if (!isolated_zone_.empty()) return;
+  isolated_zone_ = zone;
   world_.after(time, [this] {
-    cut_zone_.clear();
-    for (auto& deliver : std::exchange(at_border_, {})) world_.after(latency(), std::move(deliver));
+    isolated_zone_.clear();
+    for (auto& deliver : std::exchange(held_at_zone_border_, {}))
+      world_.after(latency(), std::move(deliver));
   });
 }
 
@@ -145,17 +154,17 @@
   std::shuffle(up.begin(), up.end(), world_.random);
   for (std::size_t i = 0; i < std::min(count, up.size()); ++i) {
     auto& w = *up[i];
-    drop_all(w);
+    drop_all_tasks(w);
     w.up = false;
-    w.died = world_.now();
+    w.died_at = world_.now();
     w.while_hung.clear();
   }
 }
 
 void SimulatedCluster::state_outage(Duration time) {
-  if (++outages_ == 1) state_.set_outage(true);
+  if (++state_outages_ == 1) state_.set_outage(true);
   world_.after(time, [this] {
-    if (--outages_ == 0) state_.set_outage(false);
+    if (--state_outages_ == 0) state_.set_outage(false);
   });
 }
 
@@ -188,7 +197,7 @@
     invariants_.set_hanging(name, false);
     if (!w.up) return;
     for (auto& act : std::exchange(w.while_hung, {})) act();
-    if (w.in_flight == 0) report(name);
+    if (w.heartbeat_in_flight == 0) send_heartbeat(name);
   });
 }
 
@@ -199,16 +208,16 @@
   if (spot.empty()) return;
   auto& w = workers_.at(spot[world_.below(spot.size())]);
   if (!notice) return remove_worker(w);
-  w.preemption_notice = 5;
+  w.preemption_notice = std::chrono::duration<double>(kPreemptionNotice).count();
   send_heartbeat_soon(w);
-  world_.after(5s, [this, name = w.name] { remove_worker(workers_.at(name)); });
+  world_.after(kPreemptionNotice, [this, name = w.name] { remove_worker(workers_.at(name)); });
 }
 
 void SimulatedCluster::make_machine_faulty(Duration time) {
   for (auto& [name, w] : workers_) {
-    if (!w.up || w.sick || !world_.chance(0.3)) continue;
-    w.sick = true;
-    world_.after(time, [this, name = name] { workers_.at(name).sick = false; });
+    if (!w.up || w.faulty || !world_.chance(0.3)) continue;
+    w.faulty = true;
+    world_.after(time, [this, name = name] { workers_.at(name).faulty = false; });
     return;
   }
 }
@@ -254,7 +263,7 @@
                       seconds(world_.uniform(5, 40)));
     case 15:
       return kill_machines(1 + world_.below(5));
-    case 16:  // a link that comes and goes
+    case 16:  // links that fail and recover repeatedly
       for (int i = 0; i < 5; ++i)
         world_.after(seconds(5.0 * i), [this, node] {
           cut(node, Side::Peers, false, seconds(world_.uniform(1, 4)));
@@ -262,7 +271,7 @@
       return;
     case 12:
       return freeze(leader(), seconds(world_.uniform(5, 15)));
-    default:  // one after the other
+    default:  // rolling restart
       for (std::size_t i = 0; i < nodes_.size(); ++i)
         world_.after(seconds(4.0 * static_cast<double>(i)), [this, i] {
           crash(i, seconds(std::min(1.0, options_.min_restart_s + 0.02)));
--- a/tests/simulation/invariant_checker.cpp
+++ b/tests/simulation/invariant_checker.cpp
@@ -2,7 +2,8 @@
 
 namespace limemast::simulation {
 namespace {
-constexpr auto kMoment = 250ms;  // what was on its way
+// Commands sent before a cancellation was confirmed may still arrive within this time.
+constexpr auto kInTransitGrace = 250ms;
 }  // namespace
 
 InvariantChecker::KnownStatus InvariantChecker::known(const std::string& uid) const {
@@ -25,12 +26,12 @@
   if (!then.final.empty() && phase != then.final)
     violated("went_back", uid + " " + then.final + " -> " + phase);
   if (phase != "done" && phase != "cancelled") return;
-  // Two final answers never differ, whichever overtook the other.
+  // Two final phases must be equal, in whichever order the answers arrive.
   if (!final.empty() && phase != final) violated("went_back", uid + " " + final + " and " + phase);
   if (phase == "done" && (job.completed.size() != job.spec.tasks || job.spec.service))
     violated("not_done", uid);
   if (phase == "cancelled") {
-    if (!job.cancel_asked) violated("went_back", uid + " was not cancelled");
+    if (!job.cancel_requested) violated("went_back", uid + " was not cancelled");
     if (final.empty()) {
       job.cancelled_at = world_.now();
       cancelled_.insert(uid);
@@ -47,8 +48,8 @@
 }
 
 double InvariantChecker::used_cpus(const std::string& team) const {
-  const auto it = used_.find(team);
-  return it == used_.end() ? 0 : it->second;
+  const auto it = used_cpus_.find(team);
+  return it == used_cpus_.end() ? 0 : it->second;
 }
 
 void InvariantChecker::started(const std::string& task, const std::string& machine,
@@ -59,29 +60,30 @@
   auto& job = jobs_.at(uid);
   const auto& s = job.spec;
   ++starts_;
-  if (job.known.final == "cancelled" && world_.now() - job.cancelled_at > kMoment)
+  if (job.known.final == "cancelled" && world_.now() - job.cancelled_at > kInTransitGrace)
     ++started_after_cancel_;
-  if (!job.on[index].empty() && !job.on[index].contains(machine))
-    violated("ran_twice", task + " on " + machine + " and " + job.on[index].begin()->first);
+  if (!job.running[index].empty() && !job.running[index].contains(machine))
+    violated("ran_twice", task + " on " + machine + " and " + job.running[index].begin()->first);
   if (!s.allows_type(type) || (s.zone && *s.zone != zone) || (spot && !s.spot))
     violated("wrong_place", task + " on " + machine);
   std::map<std::string, std::uint32_t> zones;
-  for (const auto& [i, places] : job.on)
+  for (const auto& [i, places] : job.running)
     if (i != index)
       for (const auto& [m, p] : places) ++zones[p.zone];
   ++zones[zone];
   if ((s.one_zone && zones.size() > 1) || zones[zone] > s.zone_cap())
     violated("wrong_place", task + " in " + zone);
-  if (job.on[index].emplace(machine, Place{machine, zone}).second) used_[s.team] += s.cpus;
+  if (job.running[index].emplace(machine, Place{machine, zone}).second)
+    used_cpus_[s.team] += s.cpus;
   const double most = settings_.teams.at(s.team).cpus_max;
-  if (most > 0 && used_[s.team] > most + 1e-6) violated("quota", s.team + " by " + task);
+  if (most > 0 && used_cpus_[s.team] > most + 1e-6) violated("quota", s.team + " by " + task);
   check_time();
 }
 
 void InvariantChecker::ordered(const std::string& uid) {
   const auto it = jobs_.find(uid);
   if (it != jobs_.end() && it->second.known.final == "cancelled" &&
-      world_.now() - it->second.cancelled_at > kMoment)
+      world_.now() - it->second.cancelled_at > kInTransitGrace)
     ++ordered_after_cancel_;
 }
 
@@ -90,17 +92,17 @@
   std::uint32_t index = 0;
   wire::parse_task_name(task, uid, index);
   auto& job = jobs_.at(uid);
-  auto it = job.on.find(index);
-  if (it == job.on.end() || it->second.erase(machine) == 0) return;
-  used_[job.spec.team] -= job.spec.cpus;
-  if (it->second.empty()) job.on.erase(it);
+  auto it = job.running.find(index);
+  if (it == job.running.end() || it->second.erase(machine) == 0) return;
+  used_cpus_[job.spec.team] -= job.spec.cpus;
+  if (it->second.empty()) job.running.erase(it);
 }
 
 void InvariantChecker::check_time() {
   for (const auto& uid : cancelled_) {
     const auto& job = jobs_.at(uid);
     const auto since = world_.now() - job.cancelled_at;
-    for (const auto& [index, places] : job.on)
+    for (const auto& [index, places] : job.running)
       for (const auto& [machine, place] : places) {
         if (hanging_.contains(machine)) continue;
         longest_after_cancel_ = std::max(longest_after_cancel_, since);
--- a/tests/simulation/invariant_checker.hpp
+++ b/tests/simulation/invariant_checker.hpp
@@ -6,34 +6,36 @@
 #include "wire/settings.hpp"
 
 namespace limemast::simulation {
-/// PROTOCOL's rules, checked at every event that can break one. What is broken is kept by name.
+/// Checks the rules of PROTOCOL at every event that can break one, and keeps the first violation of
+/// each rule.
 class InvariantChecker {
  public:
   InvariantChecker(SimulatedWorld& world, const wire::Settings& settings)
       : world_(world), settings_(settings) {}
 
-  // What users do and are told.
+  // Requests of users and the answers to them.
   void submitted(const wire::JobSpec& spec) {
     jobs_.try_emplace(spec.uid).first->second.spec = spec;
   }
-  void asked_to_cancel(const std::string& uid) { jobs_.at(uid).cancel_asked = true; }
-  /// What the user of a job has been told of it. An answer to anything that is asked from then on
-  /// may be no older: nothing, accepted, final.
+  void asked_to_cancel(const std::string& uid) { jobs_.at(uid).cancel_requested = true; }
+  /// What a job's user knows from earlier answers: nothing, that the job was accepted, or its final
+  /// phase. The answer to a later request must not contradict it.
   struct KnownStatus {
     bool accepted = false;
-    std::string final;
+    std::string final;  ///< "done" or "cancelled"; "" while not known
   };
   KnownStatus known(const std::string& uid) const;
-  /// The answer to a question or a cancellation that was sent when its user knew `then`.
+  /// Checks the answer to a status query or a cancellation that was sent when the user knew `then`.
   void status_answered(const std::string& uid, const KnownStatus& then, int status,
                        const std::string& phase);
-  /// The answer to a submission, likewise.
+  /// Checks the answer to a submission that was sent when the user knew `then`.
   void submission_answered(const std::string& uid, const KnownStatus& then, int status,
                            const std::string& phase);
-  /// Polls of an accepted job have failed for longer than is allowed while others were answered.
+  /// Reports that polls of an accepted job failed for longer than allowed while others were
+  /// answered.
   void status_overdue(const std::string& uid) { violated("forgotten", uid); }
 
-  // What happens on machines.
+  // Events on machines.
   void started(const std::string& task, const std::string& machine, const std::string& type,
                const std::string& zone, bool spot);
   void ended(const std::string& task, const std::string& machine);
@@ -45,26 +47,27 @@
     return !jobs_.at(uid).spec.service &&
            jobs_.at(uid).completed.size() == jobs_.at(uid).spec.tasks;
   }
-  /// A machine that hangs executes nothing, so its tasks are not held against anybody until it goes
-  /// on.
+  /// A hung machine executes nothing, so its tasks do not violate the cancellation timeout while it
+  /// hangs.
   void set_hanging(const std::string& machine, bool on) {
     on ? (void)hanging_.insert(machine) : (void)hanging_.erase(machine);
   }
-  /// To be called after each step.
+  /// Checks the cancellation timeout. Must be called after each step of the simulation.
   void check_time();
 
   const std::map<std::string, std::string>& violations() const { return violations_; }
   std::size_t starts() const { return starts_; }
-  /// A machine was ordered to run a task of this job.
+  /// Records that a machine got a Start command for a task of this job.
   void ordered(const std::string& uid);
-  /// Orders to run that came more than a moment after the job's user was told that it is cancelled.
+  /// The number of Start commands that arrived more than kInTransitGrace after the job's
+  /// cancellation was confirmed to its user.
   std::size_t ordered_after_cancel() const { return ordered_after_cancel_; }
-  /// Tasks that started more than a moment after their job's user was told that it is cancelled.
+  /// The number of tasks that started more than kInTransitGrace after the cancellation was
+  /// confirmed.
   std::size_t started_after_cancel() const { return started_after_cancel_; }
-  /// CPUs that the team's tasks take now, whoever knows of them.
+  /// CPUs of the team's running tasks, whether or not a controller knows of them.
   double used_cpus(const std::string& team) const;
-  /// The longest after its user was told that the job is cancelled that a task of it was still on a
-  /// machine.
+  /// The longest time that a task stayed on a machine after its job's cancellation was confirmed.
   Duration longest_after_cancel() const { return longest_after_cancel_; }
 
  private:
@@ -74,10 +77,11 @@
   struct Job {
     wire::JobSpec spec;
     KnownStatus known;
-    bool cancel_asked = false;
+    bool cancel_requested = false;
     Time cancelled_at{};
     std::set<std::uint32_t> completed;
-    std::map<std::uint32_t, std::map<std::string, Place>> on;  ///< index -> machine -> place
+    std::map<std::uint32_t, std::map<std::string, Place>>
+        running;  ///< by task index, then by machine
   };
   void violated(const std::string& rule, const std::string& what) {
     violations_.emplace(rule, what);
@@ -85,7 +89,7 @@
   SimulatedWorld& world_;
   const wire::Settings& settings_;
   std::map<std::string, Job> jobs_;
-  std::map<std::string, double> used_;
+  std::map<std::string, double> used_cpus_;
   std::set<std::string> cancelled_;
   std::set<std::string> hanging_;
   std::map<std::string, std::string> violations_;
--- a/tests/simulation/scenarios.hpp
+++ b/tests/simulation/scenarios.hpp
@@ -2,8 +2,8 @@
 #include "simulation/simulated_cluster.hpp"
 
 namespace limemast::simulation {
-/// A job that may go anywhere: a service of production rank on ordinary machines, or an array of
-/// standard rank on spot ones too.
+/// A job without placement constraints: a service of production rank on on-demand machines only, or
+/// an array of standard rank that may also use spot machines.
 inline wire::JobSpec plain(SimulatedCluster& cluster, bool service, std::uint32_t tasks,
                            const std::string& team, double estimate_s = 0, double cpus = 2) {
   auto s = cluster.random_job();
@@ -24,7 +24,7 @@
   return spec.uid;
 }
 
-/// The rates and leases of a fleet of a thousand machines and more.
+/// Settings for a fleet of a thousand machines or more.
 inline wire::Settings fleet_settings() {
   auto s = settings_for_tests();
   s.teams = {{"red", {4000, 60000, 0, 0}}, {"blue", {}}};
@@ -38,7 +38,7 @@
   return s;
 }
 
-/// Tasks of these jobs that run now.
+/// The number of running tasks of these jobs.
 inline std::uint32_t running(const SimulatedCluster& cluster,
                              const std::vector<std::string>& uids) {
   const auto all = cluster.running();
@@ -47,10 +47,10 @@
     if (auto it = all.find(uid); it != all.end()) n += it->second;
   return n;
 }
-/// The rules broken so far, for a failure's message; "" if none.
-inline std::string violations(const InvariantChecker& rules) {
+/// The invariants violated so far, for the message of a failed test; "" if none.
+inline std::string violations(const InvariantChecker& invariants) {
   std::string out;
-  for (const auto& [rule, what] : rules.violations()) out += rule + ": " + what + "; ";
+  for (const auto& [rule, what] : invariants.violations()) out += rule + ": " + what + "; ";
   return out;
 }
 }  // namespace limemast::simulation
--- a/tests/simulation/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -21,7 +21,7 @@
   s.value_kb = 8;
   s.txn_ops = 12;
   s.cloud_rps = 5;
-  s.list_lag = wire::Seconds(kListLag);
+  s.list_lag = wire::Seconds(kListLagS);
   s.max_connections = 1000;
   s.state = "state:1";
   s.cloud = "cloud:1";
@@ -47,8 +47,8 @@
       if (j != i) s.others["node-" + std::to_string(j)] = "node-" + std::to_string(j) + ":81";
     start(i);
   }
-  snapshot();
-  arrive();
+  record_machine_list();
+  submit_random_jobs();
 }
 SimulatedCluster::~SimulatedCluster() = default;
 
@@ -57,115 +57,120 @@
   while (world_.step(until)) invariants_.check_time();
 }
 
-void SimulatedCluster::link(std::size_t node, Side side, std::function<void()> deliver,
-                            const std::string& to_zone) {
+void SimulatedCluster::send_over_link(std::size_t node, Side side, std::function<void()> deliver,
+                                      const std::string& to_zone) {
   auto& n = nodes_[node];
-  // State service and cloud belong to no zone.
-  const bool inside = !cut_zone_.empty() && n.settings.zone == cut_zone_;
-  const bool other_inside = !cut_zone_.empty() && to_zone == cut_zone_;
+  // The state service and the cloud belong to no zone.
+  const bool inside = !isolated_zone_.empty() && n.settings.zone == isolated_zone_;
+  const bool other_inside = !isolated_zone_.empty() && to_zone == isolated_zone_;
   const bool crosses = side == Side::Workers || !to_zone.empty() ? inside != other_inside
                                                                  : inside && side != Side::Peers;
-  if (crosses) return at_border_.push_back(std::move(deliver));
+  if (crosses) return held_at_zone_border_.push_back(std::move(deliver));
   if (n.cut[side] > 0) {
-    if (n.hold) n.held[side].push_back(std::move(deliver));
+    if (n.hold_while_cut) n.held_deliveries[side].push_back(std::move(deliver));
     return;
   }
-  auto late = n.late;
-  if (side == Side::State) late += state_late_;
+  auto max_delay = n.max_link_delay;
+  if (side == Side::State) max_delay += max_state_delay_;
   world_.after(
-      latency() + (late > 0s ? seconds(world_.uniform(0, net::to_seconds(late).count())) : 0s),
+      latency() +
+          (max_delay > 0s ? seconds(world_.uniform(0, net::to_seconds(max_delay).count())) : 0s),
       std::move(deliver));
 }
 
 void SimulatedCluster::to_state(std::size_t node, const net::HttpRequest& request,
                                 const StateService::Answer& answer) {
-  if (nodes_[node].refused > 0) return answer({503, true, "{}"});
-  if (request.path == "/txn" && answers_lost_ > 0 && world_.chance(answers_lost_)) {
+  if (nodes_[node].rejected_by_store > 0) return answer({503, true, "{}"});
+  if (request.path == "/txn" && lost_transaction_answer_share_ > 0 &&
+      world_.chance(lost_transaction_answer_share_)) {
     state_.handle(request, [](net::HttpResult) {});
-    return check_leader();
+    return replay_heartbeats_to_new_leader();
   }
-  if (request.path == "/txn" && writes_late_ > 0 && world_.chance(writes_late_)) {
+  if (request.path == "/txn" && delayed_transaction_share_ > 0 &&
+      world_.chance(delayed_transaction_share_)) {
     world_.after(seconds(world_.uniform(2, 12)),
                  [this, request] { state_.handle(request, [](net::HttpResult) {}); });
     return;
   }
   if (!request.path.starts_with("/changes")) {
     state_.handle(request, answer);
-    if (request.path == "/txn") check_leader();
+    if (request.path == "/txn") replay_heartbeats_to_new_leader();
     return;
   }
-  state_.handle(request, [this, node, answer, start = nodes_[node].start](net::HttpResult r) {
-    auto& n = nodes_[node];
-    if (n.start == start && (n.refused > 0 || n.stalled > 0))
-      return n.unread_watches.push_back([answer, r] { answer(r); });
-    answer(r);
-  });
+  state_.handle(
+      request, [this, node, answer, process = nodes_[node].process_number](net::HttpResult r) {
+        auto& n = nodes_[node];
+        if (n.process_number == process && (n.rejected_by_store > 0 || n.watches_stalled > 0))
+          return n.held_watch_answers.push_back([answer, r] { answer(r); });
+        answer(r);
+      });
 }
 
 void SimulatedCluster::release_watches(std::size_t node) {
   auto& n = nodes_[node];
-  if (n.refused > 0 || n.stalled > 0) return;
-  for (auto& deliver : std::exchange(n.unread_watches, {})) deliver();
+  if (n.rejected_by_store > 0 || n.watches_stalled > 0) return;
+  for (auto& deliver : std::exchange(n.held_watch_answers, {})) deliver();
 }
 
-void SimulatedCluster::within(std::size_t node, bool timer, std::function<void()> act) {
+void SimulatedCluster::run_on_controller(std::size_t node, bool timer, std::function<void()> act) {
   auto& n = nodes_[node];
-  if (n.frozen) return void((timer ? n.late_timers : n.unread).push_back(std::move(act)));
-  if (n.freeze_next > 0s) {
+  if (n.frozen) return void((timer ? n.held_timers : n.held_arrivals).push_back(std::move(act)));
+  if (n.freeze_at_next_callback > 0s) {
     n.frozen = true;
-    world_.after(std::exchange(n.freeze_next, 0s), [this, node, start = n.start] {
-      if (nodes_[node].start == start) wake(node);
-    });
+    world_.after(std::exchange(n.freeze_at_next_callback, 0s),
+                 [this, node, process = n.process_number] {
+                   if (nodes_[node].process_number == process) resume(node);
+                 });
   }
-  if (n.each == 0s) return act();
-  n.line.push_back(std::move(act));
-  if (!n.in_line) work(node);
+  if (n.time_per_callback == 0s) return act();
+  n.callback_queue.push_back(std::move(act));
+  if (!n.queue_timer_set) process_callback_queue(node);
 }
 
-/// Takes what is first in line, if the processor is free, and comes back for the next when it is
-/// free again.
-void SimulatedCluster::work(std::size_t node) {
+/// Runs the first queued callback if the processor is free, and schedules the next one for when it
+/// is free again.
+void SimulatedCluster::process_callback_queue(std::size_t node) {
   auto& n = nodes_[node];
-  n.in_line = false;
-  if (n.line.empty()) return;
+  n.queue_timer_set = false;
+  if (n.callback_queue.empty()) return;
   if (world_.now() >= n.busy_until) {
-    auto act = std::move(n.line.front());
-    n.line.pop_front();
-    const auto takes = std::chrono::duration_cast<Duration>(n.each * n.times);
-    n.busy_until = world_.now() + takes;
-    n.worked += takes;
-    const auto start = n.start;
+    auto act = std::move(n.callback_queue.front());
+    n.callback_queue.pop_front();
+    const auto duration = std::chrono::duration_cast<Duration>(n.time_per_callback * n.slowdown);
+    n.busy_until = world_.now() + duration;
+    n.busy_time += duration;
+    const auto process = n.process_number;
     act();
-    if (nodes_[node].start != start) return;
+    if (nodes_[node].process_number != process) return;
   }
-  if (n.line.empty()) return;
-  n.in_line = true;
-  world_.after(n.busy_until - world_.now(), [this, node, start = n.start] {
-    if (nodes_[node].start == start) work(node);
+  if (n.callback_queue.empty()) return;
+  n.queue_timer_set = true;
+  world_.after(n.busy_until - world_.now(), [this, node, process = n.process_number] {
+    if (nodes_[node].process_number == process) process_callback_queue(node);
   });
 }
 
-void SimulatedCluster::wake(std::size_t node) {
+void SimulatedCluster::resume(std::size_t node) {
   auto& n = nodes_[node];
   n.frozen = false;
-  for (auto* queue : {&n.unsent, &n.late_timers, &n.unread})
+  for (auto* queue : {&n.held_sends, &n.held_timers, &n.held_arrivals})
     for (auto& act : std::exchange(*queue, {})) act();
 }
 
-void SimulatedCluster::leave(std::size_t node, std::function<void()> send) {
-  if (nodes_[node].frozen) return nodes_[node].unsent.push_back(std::move(send));
+void SimulatedCluster::send_unless_frozen(std::size_t node, std::function<void()> send) {
+  if (nodes_[node].frozen) return nodes_[node].held_sends.push_back(std::move(send));
   send();
 }
 
 void SimulatedCluster::start(std::size_t node) {
   auto& n = nodes_[node];
-  ++n.start;
+  ++n.process_number;
   n.frozen = false;
-  n.freeze_next = {};
-  for (auto* queue : {&n.unsent, &n.late_timers, &n.unread}) queue->clear();
-  n.unread_watches.clear();
-  n.line.clear();
-  n.in_line = false;
+  n.freeze_at_next_callback = {};
+  for (auto* queue : {&n.held_sends, &n.held_timers, &n.held_arrivals}) queue->clear();
+  n.held_watch_answers.clear();
+  n.callback_queue.clear();
+  n.queue_timer_set = false;
   n.busy_until = {};
   n.runtime = std::make_unique<Runtime>(*this, node);
   n.controller = std::make_unique<app::ControllerSupervisor>(*n.runtime, n.settings);
@@ -201,24 +206,24 @@
   auto deliver = [this, node, side, request, finish, zone] {
     auto& n = nodes_[node];
     if (!n.controller) return finish({0, false, {}});
-    within(node, false, [this, node, side, request, finish, zone] {
+    run_on_controller(node, false, [this, node, side, request, finish, zone] {
       auto& n = nodes_[node];
       if (!n.controller) return;
       n.controller->serve(request, [this, node, side, request, finish, zone](net::HttpResponse r) {
         observe(node, side == Side::Workers ? kWorker : kUser, &request, &r, nullptr);
-        leave(node, [this, node, side, finish, zone, r] {
+        send_unless_frozen(node, [this, node, side, finish, zone, r] {
           auto back = [this, finish, r] {
-            told_to_wait_ = seconds(r.retry_after_s);
+            retry_after_ = seconds(r.retry_after_s);
             finish({r.status, true, r.body});
-            told_to_wait_ = {};
+            retry_after_ = {};
           };
-          if (side == Side::Workers) return link(node, side, back, zone);
+          if (side == Side::Workers) return send_over_link(node, side, back, zone);
           world_.after(latency(), back);
         });
       });
     });
   };
-  if (side == Side::Workers) return link(node, side, deliver, zone);
-  world_.after(latency(), deliver);  // users are never cut off by the troubles of these tests
+  if (side == Side::Workers) return send_over_link(node, side, deliver, zone);
+  world_.after(latency(), deliver);  // faults on links do not affect users
 }
 }  // namespace limemast::simulation
--- a/tests/simulation/simulated_cluster.hpp
+++ b/tests/simulation/simulated_cluster.hpp
@@ -8,13 +8,14 @@
 #include "wire/worker.hpp"
 
 namespace limemast::simulation {
-/// A whole deployment in simulated time: controllers (the real ones), workers, cloud, state service
-/// and users.
+/// A deployment in simulated time: the real controllers with simulated workers, cloud, state
+/// service and users.
 class SimulatedCluster {
  public:
+  /// The other end of a controller's link.
   enum class Side { State, Cloud, Workers, Peers };
 
-  /// Something that a controller sends, at the moment at which it sends it.
+  /// Something that a controller sends, observed when it is sent.
   struct Outgoing {
     const std::string& from;  ///< the controller's label
     const std::string& to;  ///< an endpoint, a controller's label, or "user", "worker", "operator"
@@ -27,20 +28,23 @@
 
   struct Options {
     std::size_t controllers = 3;
-    std::size_t log_size = 10'000;
-    std::size_t machines_per_pool = 4;      ///< machines to be had of each type, zone and kind
-    double mean_submission_interval_s = 6;  ///< mean time between submissions
-    double min_restart_s = 0.5,
-           max_restart_s = 15;  ///< after how long a crashed controller is back, in random troubles
-    double failing_job_share =
-        0.04;  ///< share of jobs submitted with a mistake: they fail on every machine
-    /// A report because of a change takes the place of the next one by plan, as with real workers;
-    /// else it comes in addition.
+    std::size_t log_size = 10'000;  ///< changes that the state service keeps for watches
+    /// The most machines that the cloud rents out of each type and zone, spot and on-demand apart.
+    std::size_t machines_per_pool = 4;
+    double mean_submission_interval_s = 6;
+    /// Range of the time after which inject_random_fault restarts a crashed controller.
+    double min_restart_s = 0.5, max_restart_s = 15;
+    /// Share of the submitted jobs, services left out, whose tasks fail on every machine.
+    double failing_job_share = 0.04;
+    /// A heartbeat sent because of a change replaces the next scheduled one, as with real workers.
+    /// If false, the scheduled one is sent as well.
     bool early_heartbeat_replaces_next = false;
-    bool scripted = false;                   ///< jobs neither fail nor are cancelled by chance
-    double min_boot_s = 1, max_boot_s = 12;  ///< from a machine's hire until it is up
-    double boot_failure_share = 0.03;        ///< share of machines that never are
-    /// Called for all that leaves a controller; must neither change the cluster nor draw chances.
+    /// Jobs do not fail at random, and services are not cancelled at random.
+    bool scripted = false;
+    double min_boot_s = 1, max_boot_s = 12;  ///< from the launch of a machine until it is up
+    double boot_failure_share = 0.03;        ///< share of the launched machines that never come up
+    /// Called for everything that a controller sends. It must not change the cluster or draw random
+    /// numbers.
     Observer observer = nullptr;
   };
   SimulatedCluster(SimulatedWorld& world, wire::Settings settings, Options options);
@@ -50,122 +54,134 @@
   InvariantChecker& invariants() { return invariants_; }
   StateService& state() { return state_; }
 
-  // Troubles.
-  void crash(std::size_t node, Duration back_after);
+  // Faults. Each ends after `time`.
+  void crash(std::size_t node, Duration restart_after);
+  /// Cuts the controller's links to `side`. What is sent meanwhile is lost or, with `hold`,
+  /// delivered afterwards.
   void cut(std::size_t node, Side side, bool hold, Duration time);
-  /// The process stands still within its next callback, while its clock and its timers run on: what
-  /// that callback sends leaves when it goes on, and then timers fire before anything that came
-  /// meanwhile is read.
+  /// Freezes the controller's process in its next callback, while its clock and timers run on.
+  /// Afterwards what that callback sent leaves first, then due timers fire, then the requests and
+  /// messages that arrived meanwhile are processed.
   void freeze(std::size_t node, Duration time);
-  /// Each thing that a controller does takes this long of its processor, `times` that for this one
-  /// for a while: what comes meanwhile waits in line, timers too. Nothing costs anything by
-  /// default.
-  void set_processing_time(Duration each) {
-    for (auto& n : nodes_) n.each = each;
+  /// Each callback of a controller occupies its processor for this time, and later callbacks queue,
+  /// timers included. The default is zero.
+  void set_processing_time(Duration per_callback) {
+    for (auto& n : nodes_) n.time_per_callback = per_callback;
   }
-  void slow_down(std::size_t node, double times, Duration time);
-  /// What others say to this controller is lost on the way; what it says arrives.
+  /// Multiplies the processing time of this controller by `factor`.
+  void slow_down(std::size_t node, double factor, Duration time);
+  /// Drops messages from other controllers to this one. Its own messages arrive.
   void drop_peer_messages_to(std::size_t node, Duration time);
-  /// Direct commands to machines are lost for a while: what they are ordered comes with the answers
-  /// to their reports.
+  /// Drops direct commands to machines, which then get commands only in the answers to their
+  /// heartbeats.
   void drop_direct_commands(Duration time);
-  /// Messages of this kind between controllers are lost for a while.
+  /// Drops messages of this kind between controllers.
   void lose_messages(const std::string& kind, Duration time);
-  /// What this controller sends for a while arrives up to `late` later, in any order, whether it
-  /// still lives by then or not.
-  void delay_links(std::size_t node, Duration late, Duration time);
-  /// Each call of the state service takes up to `late` longer for a while.
-  void slow_state_service(Duration late, Duration time);
-  /// Nothing crosses the border of the zone; it is held and arrives afterwards.
+  /// Delays each thing that this controller sends or receives over its links by up to `max_delay`,
+  /// so that the order changes. What it sent arrives even if it crashes meanwhile.
+  void delay_links(std::size_t node, Duration max_delay, Duration time);
+  /// Delays requests to the state service and its answers by up to `max_delay` each.
+  void slow_state_service(Duration max_delay, Duration time);
+  /// Holds all traffic across the border of the zone and delivers it afterwards.
   void cut_zone(const std::string& zone, Duration time);
-  /// Machines stop for good. The cloud lists them as running for 30 s more, then as failed.
+  /// Stops random machines for good. The cloud lists them as running for kFailureListDelay, then as
+  /// failed.
   void kill_machines(std::size_t count);
   void state_outage(Duration time);
-  /// The state service refuses this controller alone; its open watches wait, its grant runs out.
+  /// The state service rejects the requests of this controller alone and holds the answers to its
+  /// open watches, so that its lease expires.
   void reject_at_store(std::size_t node, Duration time);
-  /// Answers to this controller's watches are held, all its other calls are answered.
+  /// Holds the answers to this controller's watches. Its other requests are answered.
   void stall_watches(std::size_t node, Duration time);
-  /// For a while that share of transactions gets no answer and is carried out 2 to 12 s later,
-  /// after newer ones. `at_once`: only the answer is lost.
-  void delay_transactions(double share, Duration time, bool at_once = false);
-  /// Of that share of the workers' reports a copy arrives again later, from 2 s to well over a
-  /// lease, at any controller; its answer is lost.
+  /// Gives this share of the transactions no answer and executes them 2 to 12 s later, after newer
+  /// ones, or at once with `execute_at_once`.
+  void delay_transactions(double share, Duration time, bool execute_at_once = false);
+  /// For this share of the heartbeats a copy reaches a random controller between 2 s and 1.6 worker
+  /// leases later. The answer to the copy is lost.
   void duplicate_heartbeats_late(double share, Duration time);
-  /// Of that share of the workers' reports a copy is kept, the oldest of each machine since the
-  /// last leader began, and reaches every controller when another one leads.
+  /// Copies this share of the heartbeats and keeps each machine's oldest copy since the last change
+  /// of leader. The copies reach every controller when another one becomes leader.
   void replay_heartbeats_at_next_leader(double share, Duration time);
-  /// These machines reach no controller; direct commands reach them.
+  /// The heartbeats of the machines chosen by `which` reach no controller. Direct commands reach
+  /// these machines.
   void block_heartbeats(
       const std::function<bool(const std::string& name, const std::string& zone)>& which,
       Duration time);
-  /// For a while users ask at all controllers, again and again within milliseconds, and repeat the
-  /// submission, right after a job was accepted, ended or confirmed as cancelled; that share of
-  /// them cancels at once.
+  /// Right after a job was accepted, finished or confirmed as cancelled, users query all
+  /// controllers several times within milliseconds and resubmit the job. They cancel this share of
+  /// the newly accepted jobs at once.
   void query_concurrently(Duration time, double cancel_at_once = 0);
-  /// For a while that share of the jobs that end is called off at the moment of the end.
+  /// This share of the jobs is cancelled when the last task ends.
   void cancel_at_end(double share, Duration time);
-  /// These machines stand still and go on later.
   void hang_machines(const std::set<std::string>& names, Duration time);
-  /// These machines are heard, and hear nothing: neither answers to their reports nor direct
-  /// commands. Machines by `which`.
+  /// The heartbeats of the machines chosen by `which` arrive, but these machines get neither the
+  /// answers nor direct commands.
   void block_inbound_to_machines(
       const std::function<bool(const std::string& name, const std::string& zone)>& which,
       Duration time);
   void cloud_outage(Duration time);
   void hang_random_machine(Duration time);
+  /// Preempts a random spot machine, 5 s after a notice or without one.
   void reclaim_machine(bool notice);
+  /// All tasks that start on some machine fail.
   void make_machine_faulty(Duration time);
   void inject_random_fault();
 
-  void submit(wire::JobSpec spec, bool cancel = false);
-  /// Its user cancels it, and asks again until it is answered.
+  /// With `cancel_later`, its user cancels the job after a random time.
+  void submit(wire::JobSpec spec, bool cancel_later = false);
+  /// The job's user cancels it and repeats the request until it is confirmed.
   void cancel(const std::string& uid);
   wire::JobSpec random_job();
-  void stop_arrivals() { arrivals_ = false; }
-  /// Array jobs that are not over yet, and replicas of services that do not run.
+  void stop_arrivals() { random_submissions_ = false; }
+  /// Jobs without a known final status, apart from services and jobs that always fail.
   std::vector<std::string> unfinished() const;
-  /// Tasks of each job that run on some machine now, whoever knows of it.
+  /// Running tasks of each job on all machines, whether or not a controller knows of them.
   std::map<std::string, std::uint32_t> running() const;
   std::size_t up_machines() const;
   std::set<std::string> all_machines() const;
-  /// Machines that are no more, and those that the controllers have written down in the state
-  /// service.
   std::set<std::string> terminated_machines() const;
+  /// Machines in the registration records of the state service.
   std::set<std::string> registered_machines() const;
-  /// Tasks that were told to stop and did.
+  /// The number of tasks that ended because of a Stop command.
   std::size_t stopped_tasks() const { return stopped_tasks_; }
-  /// A user asks this controller about the job, once; the rules see the answer.
+  /// A user queries the job's status once, at this controller. The invariants are checked on the
+  /// answer.
   void query_status(const std::string& uid, std::size_t node);
   /// Machines with a task of this job that has not exited.
   std::set<std::string> machines_with(const std::string& uid) const;
-  /// From now on the longest for which tasks of an accepted job waited while a machine that fits
-  /// had room and its team was under its limit, without a break. Jobs that are bound to one zone by
-  /// their own tasks, or spread, are left out.
+  /// Starts to measure longest_wait_with_room anew.
   void watch_waiting_jobs();
+  /// The longest uninterrupted time during which tasks of an accepted job waited although a
+  /// suitable machine had room and the team was below its limit. Jobs bound to one zone by their
+  /// own tasks, spread jobs and gangs are left out.
   Duration longest_wait_with_room() const { return longest_wait_; }
-  /// For how long a question about an accepted job that is not over has had no good answer, the
-  /// longest of all.
+  /// The longest time since the last successful status poll of an accepted job without a known
+  /// final status.
   Duration longest_unanswered() const;
   bool accepted(const std::string& uid) const { return invariants_.known(uid).accepted; }
+  /// The job's final phase if its user knows it, else "".
   std::string final_phase(const std::string& uid) const { return invariants_.known(uid).final; }
-  /// A user submits the job once more, at this controller.
+  /// A user repeats the job's submission at this controller.
   void resubmit(const std::string& uid, std::size_t node);
-  /// How long each cancellation took from the first request to its confirmation, the longest of
-  /// all.
+  /// The longest time from the first request for a cancellation to its confirmation.
   Duration longest_cancellation() const { return longest_cancellation_; }
-  /// Machines whose lease has ended at least once.
+  /// Machines whose lease has expired at least once.
   std::size_t leases_lost() const;
-  /// Machines that controllers have sent to another one, and reports that a controller gets now.
+  /// How often a machine was redirected to another controller.
   std::size_t redirected() const { return redirected_; }
+  /// Machines that send their heartbeats to this controller now.
   std::size_t machines_of(std::size_t node) const;
-  /// How many messages of this kind controllers have sent each other, themselves left out.
+  /// The number of messages of this kind that controllers have sent to other controllers.
   std::size_t messages(const std::string& kind) const;
+  /// Controllers that run and may act.
   std::size_t up_controllers() const;
-  /// The controller that leads, as it sees it itself.
+  /// The index of the first controller that considers itself leader; if there is none, the last
+  /// index.
   std::size_t leader() const;
   const app::ControllerInstance* node(std::size_t i) const {
     return nodes_[i].controller ? &nodes_[i].controller->node() : nullptr;
   }
+  /// Sends an operator's request to the controller without latency, unless its process is down.
   void ask(std::size_t node, const net::HttpRequest& request, net::Responder respond);
 
  private:
@@ -180,96 +196,100 @@
   };
   struct Worker {
     std::string name, type, zone, address;
-    bool spot = false, up = false, hung = false, sick = false, gone = false;
-    int deaf = 0, mute = 0;
-    std::uint64_t incarnation = 1, sequence = 0, fencing_token = 0, serial = 0, plan = 0;
-    std::size_t home = 0;
-    Time last_ok{};
-    std::uint64_t in_flight = 0;
+    bool spot = false, up = false, hung = false, faulty = false, terminated = false;
+    int inbound_blocked = 0, heartbeats_blocked = 0;  ///< the number of faults that block it
+    std::uint64_t incarnation = 1, sequence = 0, fencing_token = 0, serial = 0, heartbeat_timer = 0;
+    std::size_t heartbeat_target = 0;  ///< index of the controller that gets its heartbeats
+    Time last_acknowledged_at{};       ///< when the last heartbeat that renewed its lease was sent
+    std::uint64_t heartbeat_in_flight = 0;
     std::optional<double> preemption_notice;
     std::vector<Task> tasks;
     std::set<std::string> images;
     std::deque<std::function<void()>> while_hung;
-    Time rented{};
-    std::optional<Time> died;
+    Time launched_at{};
+    std::optional<Time> died_at;
   };
   struct NodeProcess {
     std::unique_ptr<Runtime> runtime;
     std::unique_ptr<app::ControllerSupervisor> controller;
     wire::Settings settings;
     std::map<Side, int> cut;
-    std::map<Side, std::vector<std::function<void()>>> held;
-    bool hold = false;
-    std::uint64_t start = 0;
-    bool deaf = false;
-    int refused = 0, stalled = 0;
+    std::map<Side, std::vector<std::function<void()>>> held_deliveries;
+    bool hold_while_cut = false;
+    std::uint64_t process_number = 0;  ///< counts the starts of this controller
+    bool drops_peer_messages = false;
+    int rejected_by_store = 0, watches_stalled = 0;
     std::vector<std::function<void()>>
-        unread_watches;  ///< while it is refused, or its watches hang
-    Duration late{};
-    Duration each{}, worked{};
-    double times = 1;
+        held_watch_answers;  ///< while the state service rejects it or its watches are stalled
+    Duration max_link_delay{};
+    Duration time_per_callback{}, busy_time{};
+    double slowdown = 1;
     Time busy_until{};
-    bool in_line = false;  ///< the first of `line` is due when the processor is free
-    std::deque<std::function<void()>> line;
-    Duration freeze_next{};
+    bool queue_timer_set = false;  ///< process_callback_queue is scheduled for busy_until
+    std::deque<std::function<void()>> callback_queue;
+    Duration freeze_at_next_callback{};
     bool frozen = false;
-    std::vector<std::function<void()>> unsent, late_timers, unread;  ///< while it stands still
+    std::vector<std::function<void()>> held_sends, held_timers, held_arrivals;  ///< while frozen
   };
   struct UserJob {
     wire::JobSpec spec;
-    double run_s = 0;
+    double run_time_s = 0;
     bool always_fails = false;
-    bool polled = false;  ///< its user polls it
-    Time last_answer{};
-    Time cancel_asked{};
+    bool polled = false;  ///< its user polls its status
+    Time last_answer_at{};
+    Time cancel_requested_at{};
   };
 
   void observe(std::size_t node, const std::string& to, const net::HttpRequest* request,
                const net::HttpResponse* response, const json* message) const;
   void start(std::size_t node);
-  void within(std::size_t node, bool timer, std::function<void()> act);
-  void wake(std::size_t node);
-  void work(std::size_t node);
-  void leave(std::size_t node, std::function<void()> send);
-  void link(std::size_t node, Side side, std::function<void()> deliver,
-            const std::string& to_zone = {});
+  /// Runs a callback of the controller at once, queues it while the processor is busy, or holds it
+  /// while the process is frozen.
+  void run_on_controller(std::size_t node, bool timer, std::function<void()> act);
+  void resume(std::size_t node);
+  void process_callback_queue(std::size_t node);
+  void send_unless_frozen(std::size_t node, std::function<void()> send);
+  void send_over_link(std::size_t node, Side side, std::function<void()> deliver,
+                      const std::string& to_zone = {});
   Duration latency() { return seconds(world_.uniform(0.001, 0.01)); }
   void to_state(std::size_t node, const net::HttpRequest& request,
                 const StateService::Answer& answer);
   void release_watches(std::size_t node);
-  void unheard(Worker& w);
+  void retry_with_next_controller(Worker& w);
   void to_controller(std::size_t node, Side side, const net::HttpRequest& request, Duration timeout,
                      std::function<void(net::HttpResult)> done, const std::string& zone = {});
 
-  void cloud(const net::HttpRequest& request, const StateService::Answer& answer);
-  void snapshot();
+  void handle_cloud_request(const net::HttpRequest& request, const StateService::Answer& answer);
+  void record_machine_list();
   void boot(const std::string& name);
   void remove_worker(Worker& w);
 
-  void report(const std::string& name);
+  void send_heartbeat(const std::string& name);
   void send_heartbeat_soon(Worker& w);
   void send_heartbeat_after(Worker& w, Duration delay);
-  std::size_t home_in(const std::string& body) const;
-  wire::Heartbeat account(Worker& w);
-  void execute(Worker& w, const json& orders);
-  void drop_all(Worker& w);
+  std::size_t redirect_target(const std::string& body) const;
+  wire::Heartbeat make_heartbeat(Worker& w);
+  void execute_commands(Worker& w, const json& commands);
+  void drop_all_tasks(Worker& w);
   void check_lease(Worker& w);
-  void when_awake(const std::string& name, std::function<void(Worker&)> act);
+  /// Runs `act` on the machine now, or when it no longer hangs. Does nothing if it is not up.
+  void when_not_hung(const std::string& name, std::function<void(Worker&)> act);
   void end_task(Worker& w, Task& t, wire::ExitCause exit_cause);
   void start_task(Worker& w, Task& t);
   void image_ready(const std::string& name, std::uint64_t serial);
-  void orders(const std::string& name, const net::HttpRequest& request,
-              const StateService::Answer& answer);
+  void handle_direct_commands(const std::string& name, const net::HttpRequest& request,
+                              const StateService::Answer& answer);
   double free_cpus(const Worker& w) const;
 
-  void arrive();
+  void submit_random_jobs();
   void send_submission(const std::string& uid);
   void poll(const std::string& uid);
   void send_cancellation(const std::string& uid);
-  /// An answer is taken in: what it newly says is looked at closely, if users do so now.
-  void learn(const std::string& uid, const InvariantChecker::KnownStatus& before);
+  /// If an answer changed what the user knows of the job, starts the queries of query_concurrently
+  /// while that fault is on.
+  void follow_up_answer(const std::string& uid, const InvariantChecker::KnownStatus& before);
   void query_after_change(const std::string& uid);
-  void check_leader();
+  void replay_heartbeats_to_new_leader();
   void hang_machine(const std::string& name, Duration time);
 
   SimulatedWorld& world_;
@@ -280,39 +300,41 @@
   std::vector<NodeProcess> nodes_;
   std::map<std::string, Worker> workers_;
   std::map<std::string, UserJob> jobs_;
-  std::map<std::string, json> hires_;
-  std::deque<json> snapshots_;
-  Duration state_late_{};
-  double writes_late_ = 0, reports_late_ = 0, answers_lost_ = 0, kept_for_next_ = 0;
-  struct Copy {
+  std::map<std::string, json> launches_;  ///< answers to launch requests, by the request's name
+  std::deque<json> machine_lists_;        ///< one a second, the newest first
+  Duration max_state_delay_{};
+  double delayed_transaction_share_ = 0, duplicated_heartbeat_share_ = 0,
+         lost_transaction_answer_share_ = 0, replayed_heartbeat_share_ = 0;
+  struct SavedHeartbeat {
     net::HttpRequest request;
     std::string zone;
   };
-  std::map<std::string, Copy> for_next_;  ///< by machine
-  json led_by_;
-  int looking_closely_ = 0;
-  double cancel_at_once_ = 0, cancel_at_end_ = 0;
+  std::map<std::string, SavedHeartbeat> heartbeats_to_replay_;  ///< by machine
+  json last_leader_;
+  int concurrent_query_faults_ = 0;
+  double cancel_after_accept_share_ = 0, cancel_at_end_share_ = 0;
   Duration longest_cancellation_{};
   std::size_t stopped_tasks_ = 0;
   void check_waiting_jobs();
   bool has_room_for(const wire::JobSpec& spec) const;
-  bool watching_waits_ = false;
+  bool watching_waiting_jobs_ = false;
   std::map<std::string, Time> waiting_since_;
   Duration longest_wait_{};
-  bool direct_lost_ = false;
-  std::string cut_zone_;
-  std::vector<std::function<void()>> at_border_;
+  bool direct_commands_dropped_ = false;
+  std::string isolated_zone_;
+  std::vector<std::function<void()>> held_at_zone_border_;
   bool cloud_down_ = false;
-  bool arrivals_ = true;
-  int outages_ = 0;
+  bool random_submissions_ = true;
+  int state_outages_ = 0;
   std::uint64_t next_machine_ = 1;
   std::uint64_t next_job_ = 1;
   std::uint64_t next_serial_ = 1;
   std::size_t redirected_ = 0;
-  Duration told_to_wait_{};  ///< while an answer is read: its Retry-After
-  std::map<std::string, std::size_t> messages_;
-  std::set<std::string> lost_kinds_;
+  Duration retry_after_{};  ///< Retry-After of the answer that is being processed
+  std::map<std::string, std::size_t> messages_sent_;
+  std::set<std::string> dropped_message_kinds_;
 };
 
+/// Three zones and two teams; only team red has a guarantee and a limit.
 wire::Settings settings_for_tests();
 }  // namespace limemast::simulation
--- a/tests/simulation/simulated_users.cpp
+++ b/tests/simulation/simulated_users.cpp
@@ -1,4 +1,4 @@
-// Users: submissions, status queries, cancellations.
+// Users submit jobs, query their status and cancel them.
 #include <algorithm>
 #include <cmath>
 
@@ -6,6 +6,11 @@
 #include "simulation/simulation_constants.hpp"
 
 namespace limemast::simulation {
+namespace {
+constexpr auto kStatusTimeout = 2s;
+constexpr auto kSubmissionTimeout = 5s;
+}  // namespace
+
 wire::JobSpec SimulatedCluster::random_job() {
   wire::JobSpec s;
   char text[16];
@@ -33,83 +38,87 @@
   return s;
 }
 
-void SimulatedCluster::arrive() {
-  if (arrivals_) submit(random_job(), world_.chance(0.25));
+void SimulatedCluster::submit_random_jobs() {
+  if (random_submissions_) submit(random_job(), world_.chance(0.25));
   world_.after(seconds(-options_.mean_submission_interval_s * std::log(world_.uniform(0.01, 1))),
-               [this] { arrive(); });
+               [this] { submit_random_jobs(); });
 }
 
-void SimulatedCluster::submit(wire::JobSpec spec, bool cancelled) {
+void SimulatedCluster::submit(wire::JobSpec spec, bool cancel_later) {
   const auto uid = spec.uid;
   auto& job = jobs_[uid];
   job.spec = spec;
-  job.run_s = std::max(2.0, spec.estimate.count() * world_.uniform(0.4, 1.6));
+  job.run_time_s = std::max(2.0, spec.estimate.count() * world_.uniform(0.4, 1.6));
   job.always_fails =
       !options_.scripted && !spec.service && world_.chance(options_.failing_job_share);
-  job.last_answer = world_.now();
+  job.last_answer_at = world_.now();
   invariants_.submitted(spec);
   send_submission(uid);
   // Services and jobs that always fail run until they are cancelled.
-  if (cancelled || (spec.service && !options_.scripted) || job.always_fails)
+  if (cancel_later || (spec.service && !options_.scripted) || job.always_fails)
     world_.after(seconds(world_.uniform(1, spec.service ? 200 : 60)), [this, uid] { cancel(uid); });
-  // Nobody submitted this one.
-  const auto none = "wk-9" + uid.substr(4);
-  to_controller(
-      world_.below(nodes_.size()), Side::Cloud, {"GET", "/submissions/" + none, {}}, 2s,
-      [this, none](net::HttpResult r) { invariants_.status_answered(none, {}, r.status, ""); });
+  // A status query for a job that was never submitted must get no status.
+  const auto unknown_uid = "wk-9" + uid.substr(4);
+  to_controller(world_.below(nodes_.size()), Side::Cloud,
+                {"GET", "/submissions/" + unknown_uid, {}}, kStatusTimeout,
+                [this, unknown_uid](net::HttpResult r) {
+                  invariants_.status_answered(unknown_uid, {}, r.status, "");
+                });
 }
 
 namespace {
-std::string phase_in(const net::HttpResult& r) {
+std::string parse_phase(const net::HttpResult& r) {
   const auto body = json::parse(r.body, nullptr, false);
   return body.is_object() ? body.value("phase", "") : "";
 }
-constexpr unsigned kCloseRounds = 4;
-constexpr double kCloseApart = 0.012;  ///< seconds within which a close look asks, each round
+constexpr unsigned kQueryRounds = 4;
+constexpr double kQueryRoundSpreadS = 0.012;  // time over which the queries of a round spread
 }  // namespace
 
-void SimulatedCluster::learn(const std::string& uid, const InvariantChecker::KnownStatus& before) {
+void SimulatedCluster::follow_up_answer(const std::string& uid,
+                                        const InvariantChecker::KnownStatus& before) {
   const auto now = invariants_.known(uid);
   if (before.accepted == now.accepted && before.final == now.final) return;
-  if (looking_closely_ == 0) return;
+  if (concurrent_query_faults_ == 0) return;
   query_after_change(uid);
-  if (!before.accepted && now.final.empty() && world_.chance(cancel_at_once_)) cancel(uid);
+  if (!before.accepted && now.final.empty() && world_.chance(cancel_after_accept_share_))
+    cancel(uid);
 }
 
 void SimulatedCluster::query_after_change(const std::string& uid) {
-  for (unsigned round = 0; round < kCloseRounds; ++round)
+  for (unsigned round = 0; round < kQueryRounds; ++round)
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
-      const auto soon = [&] {
-        return seconds(world_.uniform(0, kCloseApart) + kCloseApart * round * round);
+      const auto random_delay = [&] {
+        return seconds(world_.uniform(0, kQueryRoundSpreadS) + kQueryRoundSpreadS * round * round);
       };
-      world_.after(soon(), [this, uid, i] { query_status(uid, i); });
-      if (round % 2 == 0) world_.after(soon(), [this, uid, i] { resubmit(uid, i); });
+      world_.after(random_delay(), [this, uid, i] { query_status(uid, i); });
+      if (round % 2 == 0) world_.after(random_delay(), [this, uid, i] { resubmit(uid, i); });
     }
 }
 
 void SimulatedCluster::resubmit(const std::string& uid, std::size_t node) {
   const auto then = invariants_.known(uid);
   to_controller(node, Side::Cloud,
-                {"POST", "/submissions", wire::to_json(jobs_.at(uid).spec).dump()}, 5s,
-                [this, uid, then](net::HttpResult r) {
+                {"POST", "/submissions", wire::to_json(jobs_.at(uid).spec).dump()},
+                kSubmissionTimeout, [this, uid, then](net::HttpResult r) {
                   const auto before = invariants_.known(uid);
-                  invariants_.submission_answered(uid, then, r.status, phase_in(r));
-                  learn(uid, before);
+                  invariants_.submission_answered(uid, then, r.status, parse_phase(r));
+                  follow_up_answer(uid, before);
                 });
 }
 
 void SimulatedCluster::send_submission(const std::string& uid) {
   const auto then = invariants_.known(uid);
   to_controller(world_.below(nodes_.size()), Side::Cloud,
-                {"POST", "/submissions", wire::to_json(jobs_.at(uid).spec).dump()}, 5s,
-                [this, uid, then](net::HttpResult r) {
+                {"POST", "/submissions", wire::to_json(jobs_.at(uid).spec).dump()},
+                kSubmissionTimeout, [this, uid, then](net::HttpResult r) {
                   auto& job = jobs_.at(uid);
                   const auto before = invariants_.known(uid);
-                  invariants_.submission_answered(uid, then, r.status, phase_in(r));
-                  learn(uid, before);
+                  invariants_.submission_answered(uid, then, r.status, parse_phase(r));
+                  follow_up_answer(uid, before);
                   if (r.status != 200 && r.status != 201) {
                     if (r.status != 400 && r.status != 422)
-                      world_.after(std::max(told_to_wait_, seconds(world_.uniform(1, 2))),
+                      world_.after(std::max(retry_after_, seconds(world_.uniform(1, 2))),
                                    [this, uid] { send_submission(uid); });
                     return;
                   }
@@ -117,37 +126,38 @@
                   world_.after(seconds(world_.uniform(0.1, 3)), [this, uid] { poll(uid); });
                   if (world_.chance(0.3))
                     world_.after(seconds(world_.uniform(1, 40)),
-                                 [this, uid] { send_submission(uid); });  // a late repeat
+                                 [this, uid] { send_submission(uid); });  // late resubmission
                 });
 }
 
 void SimulatedCluster::poll(const std::string& uid) {
   const auto then = invariants_.known(uid);
-  to_controller(world_.below(nodes_.size()), Side::Cloud, {"GET", "/submissions/" + uid, {}}, 2s,
-                [this, uid, then](net::HttpResult r) {
+  to_controller(world_.below(nodes_.size()), Side::Cloud, {"GET", "/submissions/" + uid, {}},
+                kStatusTimeout, [this, uid, then](net::HttpResult r) {
                   const auto before = invariants_.known(uid);
-                  invariants_.status_answered(uid, then, r.status, phase_in(r));
-                  learn(uid, before);
-                  if (r.status == 200) jobs_.at(uid).last_answer = world_.now();
-                  const auto again = invariants_.known(uid).final.empty() ? world_.uniform(2, 5)
-                                                                          : world_.uniform(20, 60);
-                  world_.after(seconds(again), [this, uid] { poll(uid); });
+                  invariants_.status_answered(uid, then, r.status, parse_phase(r));
+                  follow_up_answer(uid, before);
+                  if (r.status == 200) jobs_.at(uid).last_answer_at = world_.now();
+                  const auto next_poll_s = invariants_.known(uid).final.empty()
+                                               ? world_.uniform(2, 5)
+                                               : world_.uniform(20, 60);
+                  world_.after(seconds(next_poll_s), [this, uid] { poll(uid); });
                 });
 }
 
 void SimulatedCluster::query_status(const std::string& uid, std::size_t node) {
   const auto then = invariants_.known(uid);
-  to_controller(node, Side::Cloud, {"GET", "/submissions/" + uid, {}}, 2s,
+  to_controller(node, Side::Cloud, {"GET", "/submissions/" + uid, {}}, kStatusTimeout,
                 [this, uid, then](net::HttpResult r) {
                   const auto before = invariants_.known(uid);
-                  invariants_.status_answered(uid, then, r.status, phase_in(r));
-                  learn(uid, before);
+                  invariants_.status_answered(uid, then, r.status, parse_phase(r));
+                  follow_up_answer(uid, before);
                 });
 }
 
 void SimulatedCluster::cancel(const std::string& uid) {
   if (!invariants_.known(uid).accepted) return void(world_.after(3s, [this, uid] { cancel(uid); }));
-  if (jobs_.at(uid).cancel_asked == Time{}) jobs_.at(uid).cancel_asked = world_.now();
+  if (jobs_.at(uid).cancel_requested_at == Time{}) jobs_.at(uid).cancel_requested_at = world_.now();
   invariants_.asked_to_cancel(uid);
   send_cancellation(uid);
 }
@@ -155,14 +165,14 @@
 void SimulatedCluster::send_cancellation(const std::string& uid) {
   const auto then = invariants_.known(uid);
   to_controller(
-      world_.below(nodes_.size()), Side::Cloud, {"POST", "/submissions/" + uid + "/abort", {}}, 5s,
-      [this, uid, then](net::HttpResult r) {
+      world_.below(nodes_.size()), Side::Cloud, {"POST", "/submissions/" + uid + "/abort", {}},
+      kSubmissionTimeout, [this, uid, then](net::HttpResult r) {
         const auto before = invariants_.known(uid);
-        invariants_.status_answered(uid, then, r.status, phase_in(r));
+        invariants_.status_answered(uid, then, r.status, parse_phase(r));
         if (before.final.empty() && r.status == 200)
           longest_cancellation_ =
-              std::max(longest_cancellation_, world_.now() - jobs_.at(uid).cancel_asked);
-        learn(uid, before);
+              std::max(longest_cancellation_, world_.now() - jobs_.at(uid).cancel_requested_at);
+        follow_up_answer(uid, before);
         if (r.status != 200)
           world_.after(seconds(world_.uniform(1, 2)), [this, uid] { send_cancellation(uid); });
       });
--- a/tests/simulation/simulated_workers.cpp
+++ b/tests/simulation/simulated_workers.cpp
@@ -1,4 +1,4 @@
-// Workers: heartbeats, commands, tasks and leases.
+// Workers send heartbeats, execute commands and end their tasks when the lease expires.
 #include <algorithm>
 #include <cmath>
 
@@ -6,6 +6,12 @@
 #include "simulation/simulation_constants.hpp"
 
 namespace limemast::simulation {
+namespace {
+constexpr auto kRetryDelay = 1s;
+// Time from a change on a machine to the heartbeat that reports it.
+constexpr auto kChangeReportDelay = 500ms;
+}  // namespace
+
 double SimulatedCluster::free_cpus(const Worker& w) const {
   double free = machine_type(w.type).cpus;
   for (const auto& t : w.tasks)
@@ -13,7 +19,7 @@
   return free;
 }
 
-void SimulatedCluster::drop_all(Worker& w) {
+void SimulatedCluster::drop_all_tasks(Worker& w) {
   for (auto& t : w.tasks)
     if (t.phase == wire::TaskPhase::Running || t.phase == wire::TaskPhase::Saving)
       invariants_.ended(wire::task_name(t.uid, t.index), w.name);
@@ -21,14 +27,15 @@
 }
 
 void SimulatedCluster::check_lease(Worker& w) {
-  if (!w.up || w.hung || world_.now() - w.last_ok <= net::to_duration(settings_.worker_lease))
+  if (!w.up || w.hung ||
+      world_.now() - w.last_acknowledged_at <= net::to_duration(settings_.worker_lease))
     return;
-  drop_all(w);
+  drop_all_tasks(w);
   ++w.incarnation;
-  w.last_ok = world_.now();
+  w.last_acknowledged_at = world_.now();
 }
 
-void SimulatedCluster::when_awake(const std::string& name, std::function<void(Worker&)> act) {
+void SimulatedCluster::when_not_hung(const std::string& name, std::function<void(Worker&)> act) {
   auto& w = workers_.at(name);
   if (!w.up) return;
   if (w.hung) return void(w.while_hung.push_back([this, name, act] { act(workers_.at(name)); }));
@@ -36,7 +43,7 @@
   act(w);
 }
 
-wire::Heartbeat SimulatedCluster::account(Worker& w) {
+wire::Heartbeat SimulatedCluster::make_heartbeat(Worker& w) {
   wire::Heartbeat r;
   r.machine = w.name;
   r.address = w.address;
@@ -52,56 +59,59 @@
   return r;
 }
 
-void SimulatedCluster::report(const std::string& name) {
-  when_awake(name, [this, name](Worker& w) {
-    if (w.in_flight != 0) return;
-    if (w.mute > 0) return unheard(w);  // no connection
-    const auto flight = w.in_flight = next_serial_++;
+void SimulatedCluster::send_heartbeat(const std::string& name) {
+  when_not_hung(name, [this, name](Worker& w) {
+    if (w.heartbeat_in_flight != 0) return;
+    if (w.heartbeats_blocked > 0)
+      return retry_with_next_controller(w);  // no connection to any controller
+    const auto flight = w.heartbeat_in_flight = next_serial_++;
     const auto sent = world_.now();
     const auto incarnation = w.incarnation;
-    const net::HttpRequest request{"POST", "/hello", wire::to_json(account(w)).dump()};
-    if (reports_late_ > 0 && world_.chance(reports_late_)) {
+    const net::HttpRequest request{"POST", "/hello", wire::to_json(make_heartbeat(w)).dump()};
+    if (duplicated_heartbeat_share_ > 0 && world_.chance(duplicated_heartbeat_share_)) {
       const auto later = seconds(world_.uniform(2, 1.6 * settings_.worker_lease.count()));
       world_.after(later, [this, request, to = world_.below(nodes_.size()), zone = w.zone] {
         to_controller(
-            to, Side::Workers, request, 4s, [](net::HttpResult) {}, zone);
+            to, Side::Workers, request, kHeartbeatTimeout, [](net::HttpResult) {}, zone);
       });
     }
-    if (kept_for_next_ > 0 && world_.chance(kept_for_next_))
-      for_next_.try_emplace(name, Copy{request, w.zone});
+    if (replayed_heartbeat_share_ > 0 && world_.chance(replayed_heartbeat_share_))
+      heartbeats_to_replay_.try_emplace(name, SavedHeartbeat{request, w.zone});
     to_controller(
-        w.home, Side::Workers, request, 4s,
+        w.heartbeat_target, Side::Workers, request, kHeartbeatTimeout,
         [=, this](net::HttpResult r) {
-          when_awake(name, [=, this](Worker& w) {
-            if (w.in_flight != flight) return;
-            if (w.deaf > 0) {  // the answer is lost on the way
-              world_.after(std::max(Duration::zero(), sent + 4s - world_.now()), [=, this] {
-                when_awake(name, [=, this](Worker& w) {
-                  if (w.in_flight == flight) unheard(w);
-                });
-              });
+          when_not_hung(name, [=, this](Worker& w) {
+            if (w.heartbeat_in_flight != flight) return;
+            if (w.inbound_blocked > 0) {  // the answer is lost on the way
+              world_.after(std::max(Duration::zero(), sent + kHeartbeatTimeout - world_.now()),
+                           [=, this] {
+                             when_not_hung(name, [=, this](Worker& w) {
+                               if (w.heartbeat_in_flight == flight) retry_with_next_controller(w);
+                             });
+                           });
               return;
             }
-            w.in_flight = 0;
-            // Answers are dropped after 4 s, whenever the machine comes to read them.
-            const bool in_time = world_.now() - sent <= 4s;
+            w.heartbeat_in_flight = 0;
+            // A machine that hung drops answers that it reads after the timeout.
+            const bool in_time = world_.now() - sent <= kHeartbeatTimeout;
             if (r.status == 200 && in_time && incarnation == w.incarnation) {
               const auto body = json::parse(r.body);
               const auto fencing_token = body.at("mandate").get<std::uint64_t>();
               if (fencing_token >= w.fencing_token) {
                 w.fencing_token = fencing_token;
-                w.last_ok = sent;
-                execute(w, body.at("orders"));
+                w.last_acknowledged_at = sent;
+                execute_commands(w, body.at("orders"));
               }
               send_heartbeat_after(
                   w, net::to_duration(settings_.heartbeat_interval * world_.uniform(0.75, 1.25)));
-            } else if (const auto home = r.status == 421 ? home_in(r.body) : nodes_.size();
-                       home < nodes_.size() && home != w.home) {
+            } else if (const auto target =
+                           r.status == 421 ? redirect_target(r.body) : nodes_.size();
+                       target < nodes_.size() && target != w.heartbeat_target) {
               ++redirected_;
-              w.home = home;
+              w.heartbeat_target = target;
               send_heartbeat_after(w, seconds(world_.uniform(0, 0.5)));
             } else {
-              unheard(w);
+              retry_with_next_controller(w);
             }
           });
         },
@@ -109,25 +119,26 @@
   });
 }
 
-/// No answer that counts: the next controller is tried 1 s later.
-void SimulatedCluster::unheard(Worker& w) {
-  w.in_flight = 0;
-  w.home = (w.home + 1) % nodes_.size();
-  send_heartbeat_after(w, 1s);
+/// Tries the next controller after a heartbeat without a valid answer.
+void SimulatedCluster::retry_with_next_controller(Worker& w) {
+  w.heartbeat_in_flight = 0;
+  w.heartbeat_target = (w.heartbeat_target + 1) % nodes_.size();
+  send_heartbeat_after(w, kRetryDelay);
 }
 
-/// Its next report by itself.
+/// Schedules the next regular heartbeat.
 void SimulatedCluster::send_heartbeat_after(Worker& w, Duration delay) {
-  world_.after(delay, [this, name = w.name, plan = ++w.plan] {
+  world_.after(delay, [this, name = w.name, timer = ++w.heartbeat_timer] {
     if (auto it = workers_.find(name);
         it != workers_.end() &&
-        (!options_.early_heartbeat_replaces_next || it->second.plan == plan))
-      report(name);
+        (!options_.early_heartbeat_replaces_next || it->second.heartbeat_timer == timer))
+      send_heartbeat(name);
   });
 }
 
-/// The controller that an answer names; none: their number.
-std::size_t SimulatedCluster::home_in(const std::string& body) const {
+/// The index of the controller that an answer redirects to; the number of controllers if it names
+/// none.
+std::size_t SimulatedCluster::redirect_target(const std::string& body) const {
   const auto b = json::parse(body, nullptr, false);
   const auto label = b.is_object() ? b.value("home", "") : "";
   return static_cast<std::size_t>(
@@ -137,7 +148,7 @@
 }
 
 void SimulatedCluster::send_heartbeat_soon(Worker& w) {
-  world_.after(500ms, [this, name = w.name] { report(name); });
+  world_.after(kChangeReportDelay, [this, name = w.name] { send_heartbeat(name); });
 }
 
 void SimulatedCluster::end_task(Worker& w, Task& t, wire::ExitCause cause) {
@@ -148,19 +159,20 @@
   send_heartbeat_soon(w);
   if (cause != wire::ExitCause::Done) return;
   invariants_.completed(t.uid, t.index);
-  if (cancel_at_end_ > 0 && invariants_.all_completed(t.uid) && world_.chance(cancel_at_end_))
+  if (cancel_at_end_share_ > 0 && invariants_.all_completed(t.uid) &&
+      world_.chance(cancel_at_end_share_))
     cancel(t.uid);
 }
 
 void SimulatedCluster::image_ready(const std::string& name, std::uint64_t serial) {
-  when_awake(name, [this, serial](Worker& w) {
+  when_not_hung(name, [this, serial](Worker& w) {
     auto it =
         std::find_if(w.tasks.begin(), w.tasks.end(), [&](auto& t) { return t.serial == serial; });
     if (it == w.tasks.end() || it->phase != wire::TaskPhase::Fetching) return;
     const auto& job = jobs_.at(it->uid);
     w.images.insert(job.spec.image);
     if (!job.spec.gang) return start_task(w, *it);
-    // A gang waits until all its tasks are there with the same attempt.
+    // A gang starts when all its tasks wait with the same attempt number.
     it->phase = wire::TaskPhase::Waiting;
     send_heartbeat_soon(w);
     std::vector<std::pair<Worker*, Task*>> gang;
@@ -172,8 +184,8 @@
       for (auto& [where, t] : gang) start_task(*where, *t);
       return;
     }
-    world_.after(kGangWait, [this, name = w.name, serial] {
-      when_awake(name, [this, serial](Worker& w) {
+    world_.after(kGangTimeout, [this, name = w.name, serial] {
+      when_not_hung(name, [this, serial](Worker& w) {
         auto t = std::find_if(w.tasks.begin(), w.tasks.end(),
                               [&](auto& x) { return x.serial == serial; });
         if (t != w.tasks.end() && t->phase == wire::TaskPhase::Waiting)
@@ -190,11 +202,11 @@
   it->phase = wire::TaskPhase::Running;
   invariants_.started(wire::task_name(it->uid, it->index), w.name, w.type, w.zone, w.spot);
   send_heartbeat_soon(w);
-  const bool fails = w.sick || job.always_fails;
+  const bool fails = w.faulty || job.always_fails;
   if (job.spec.service && !fails) return;
-  const auto time = seconds(fails ? 0.3 : job.run_s * world_.uniform(0.7, 1.4));
+  const auto time = seconds(fails ? 0.3 : job.run_time_s * world_.uniform(0.7, 1.4));
   world_.after(time, [this, name = w.name, serial, fails] {
-    when_awake(name, [this, serial, fails](Worker& w) {
+    when_not_hung(name, [this, serial, fails](Worker& w) {
       auto t =
           std::find_if(w.tasks.begin(), w.tasks.end(), [&](auto& x) { return x.serial == serial; });
       if (t != w.tasks.end() && t->phase == wire::TaskPhase::Running)
@@ -203,29 +215,30 @@
   });
 }
 
-void SimulatedCluster::execute(Worker& w, const json& list) {
-  for (const auto& entry : list) {
-    const auto o = *wire::parse_command(entry);
+void SimulatedCluster::execute_commands(Worker& w, const json& commands) {
+  for (const auto& entry : commands) {
+    const auto command = *wire::parse_command(entry);
     auto it = std::find_if(w.tasks.begin(), w.tasks.end(), [&](auto& t) {
-      return t.uid == o.uid && t.index == o.index && t.attempt == o.attempt;
+      return t.uid == command.uid && t.index == command.index && t.attempt == command.attempt;
     });
-    if (o.kind == wire::CommandKind::Forget) {
+    if (command.kind == wire::CommandKind::Forget) {
       if (it != w.tasks.end() && it->phase == wire::TaskPhase::Exited) w.tasks.erase(it);
-    } else if (o.kind == wire::CommandKind::Stop) {
+    } else if (command.kind == wire::CommandKind::Stop) {
       if (it == w.tasks.end() || it->phase == wire::TaskPhase::Exited) continue;
       ++stopped_tasks_;
       end_task(w, *it, wire::ExitCause::Halted);
     } else if (it == w.tasks.end()) {
-      invariants_.ordered(o.uid);
+      invariants_.ordered(command.uid);
       Task t;
-      t.uid = o.uid;
-      t.index = o.index;
-      t.attempt = o.attempt;
+      t.uid = command.uid;
+      t.index = command.index;
+      t.attempt = command.attempt;
       t.serial = next_serial_++;
       const bool busy = std::any_of(w.tasks.begin(), w.tasks.end(), [&](auto& x) {
-        return x.uid == o.uid && x.index == o.index && x.phase != wire::TaskPhase::Exited;
+        return x.uid == command.uid && x.index == command.index &&
+               x.phase != wire::TaskPhase::Exited;
       });
-      const auto job = jobs_.find(o.uid);
+      const auto job = jobs_.find(command.uid);
       if (job == jobs_.end() || busy || free_cpus(w) + 1e-6 < job->second.spec.cpus) {
         t.phase = wire::TaskPhase::Exited;
         t.exit_cause = job == jobs_.end() ? wire::ExitCause::NoSuch
@@ -245,19 +258,20 @@
   }
 }
 
-void SimulatedCluster::orders(const std::string& name, const net::HttpRequest& request,
-                              const StateService::Answer& answer) {
+void SimulatedCluster::handle_direct_commands(const std::string& name,
+                                              const net::HttpRequest& request,
+                                              const StateService::Answer& answer) {
   auto found = workers_.find(name);
   if (found == workers_.end()) return;
-  when_awake(name, [this, request, answer](Worker& w) {
-    if (w.deaf > 0 || direct_lost_) return;
+  when_not_hung(name, [this, request, answer](Worker& w) {
+    if (w.inbound_blocked > 0 || direct_commands_dropped_) return;
     const auto body = json::parse(request.body);
     const auto fencing_token = body.at("mandate").get<std::uint64_t>();
     if (fencing_token < w.fencing_token || body.at("tenure").get<std::uint64_t>() != w.incarnation)
-      return answer({409, true, wire::to_json(account(w)).dump()});
+      return answer({409, true, wire::to_json(make_heartbeat(w)).dump()});
     w.fencing_token = fencing_token;
-    execute(w, body.at("orders"));
-    answer({200, true, wire::to_json(account(w)).dump()});
+    execute_commands(w, body.at("orders"));
+    answer({200, true, wire::to_json(make_heartbeat(w)).dump()});
   });
 }
 }  // namespace limemast::simulation
--- a/tests/simulation/simulated_world.hpp
+++ b/tests/simulation/simulated_world.hpp
@@ -11,7 +11,8 @@
 using wire::json;
 using namespace std::chrono_literals;
 
-/// Simulated time and chance. Events of one moment run in the order in which they were made.
+/// Simulated time, event queue and random numbers. Events due at the same time run in the order in
+/// which they were scheduled.
 class SimulatedWorld {
  public:
   explicit SimulatedWorld(std::uint64_t seed) : random(seed) {}
@@ -21,6 +22,7 @@
            std::chrono::duration_cast<net::WallTime::duration>(now_ - start());
   }
   static Time start() { return Time(1000s); }
+  /// Schedules `fire` and returns an id for cancel().
   std::uint64_t after(Duration delay, std::function<void()> fire) {
     const auto id = next_++;
     const auto when = now_ + std::max(delay, Duration::zero());
@@ -34,7 +36,8 @@
       when_.erase(it);
     }
   }
-  /// Runs one event; false if none is due before `until`.
+  /// Runs the next event that is due by `until`. If there is none, advances the time to `until` and
+  /// returns false.
   bool step(Time until) {
     if (events_.empty() || events_.begin()->first.first > until) {
       now_ = until;
@@ -49,9 +52,11 @@
   double uniform(double low, double high) {
     return std::uniform_real_distribution<>(low, high)(random);
   }
+  /// A random number from 0 to n - 1.
   std::size_t below(std::size_t n) {
     return std::uniform_int_distribution<std::size_t>(0, n - 1)(random);
   }
+  /// True with probability `p`.
   bool chance(double p) { return uniform(0, 1) < p; }
 
   std::mt19937_64 random;
--- a/tests/simulation/simulation_test.cpp
+++ b/tests/simulation/simulation_test.cpp
@@ -11,18 +11,18 @@
 using namespace simulation;
 using namespace std::chrono_literals;
 
-/// Silent, unless somebody looks into a failure.
+/// Logs only if SIM_LOG is set in the environment.
 void set_log_level() {
   spdlog::set_level(std::getenv("SIM_LOG") ? spdlog::level::debug : spdlog::level::off);
 }
 
-/// Waits for the one job that comes by itself at the start of each simulated day.
+/// Waits for the random job that is submitted when the cluster starts.
 void finish_first_job(SimulatedCluster& cluster) {
   for (int i = 0; i < 20 && !cluster.unfinished().empty(); ++i) cluster.run(5s);
 }
 
-/// Random days: the rules are checked after every step, and what was accepted is done once the
-/// troubles end.
+/// Random jobs and faults: the invariants hold at every step, and all accepted jobs finish after
+/// the faults end.
 class RandomDay : public testing::TestWithParam<std::uint64_t> {
  protected:
   void SetUp() override { set_log_level(); }
@@ -31,10 +31,11 @@
 TEST_P(RandomDay, RulesHoldAndWorkFinishes) {
   SimulatedWorld world(GetParam());
   SimulatedCluster::Options options;
-  if (GetParam() % 3 == 0) options.log_size = 60;  // watches fall behind: 410 and a new listing
-  options.machines_per_pool = 4 + world.below(3);  // up to half as many machines again
+  if (GetParam() % 3 == 0)
+    options.log_size = 60;  // watches are compacted away: 410 and a new listing
+  options.machines_per_pool = 4 + world.below(3);  // 4 to 6
   if (GetParam() % 2 == 0)
-    options.min_restart_s = 0, options.max_restart_s = 3;  // controllers that are back at once
+    options.min_restart_s = 0, options.max_restart_s = 3;  // controllers restart at once
   SimulatedCluster cluster(world, settings_for_tests(), options);
   cluster.run(30s);
   const double mean = GetParam() % 2 == 0 ? 12 : 25;
@@ -44,13 +45,13 @@
     ASSERT_EQ(violations(cluster.invariants()), "") << "seed " << GetParam();
   }
   cluster.stop_arrivals();
-  cluster.run(900s);  // guests, half of all here, go after all others (seed 13 took 620 s)
+  cluster.run(900s);  // team blue has no guarantee, so its jobs are placed after all others
   EXPECT_EQ(violations(cluster.invariants()), "") << "seed " << GetParam();
   EXPECT_GT(cluster.invariants().starts(), 20u);
   EXPECT_EQ(cluster.up_controllers(), 3u);
-  // Each class and team is served by more than half: of arrays, all that the last leader has seen
-  // asked for; of services, the replica time of the last two minutes, as the troubles are long over
-  // and there is room for all of them.
+  // For each class and team, at least half of the array tasks that the last leader has seen
+  // requested are done, and services got more than half of the requested replica time in the last
+  // two minutes, when the faults are over and there is room for all.
   const auto& attainment = cluster.node(cluster.leader())->slo_attainment();
   for (const auto* sums : {&attainment.classes(), &attainment.teams()})
     for (const auto& [name, s] : *sums) {
@@ -62,13 +63,13 @@
                             << (cluster.accepted(left.front()) ? "" : " (not accepted)")
                             << ", seed " << GetParam();
 }
-/// Thirty days; with SIM_DAYS in the environment as many as it says, by hand.
+/// The number of seeds: 30, or SIM_DAYS from the environment.
 std::uint64_t days() { return std::getenv("SIM_DAYS") ? std::stoull(std::getenv("SIM_DAYS")) : 30; }
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomDay, testing::Range<std::uint64_t>(1, days() + 1));
-// Seeds that once failed: a job left over (56, 98).
+// Seeds that left a job unfinished in the past.
 INSTANTIATE_TEST_SUITE_P(Found, RandomDay, testing::Values<std::uint64_t>(56, 98));
 
-// Each task of a gang had an attempt of its own, so that none ever met the others.
+// Guards against gang tasks with different attempt numbers, which never start together.
 TEST(Gang, RunsTogether) {
   set_log_level();
   SimulatedWorld world(1);
@@ -90,17 +91,17 @@
   EXPECT_EQ(std::count(left.begin(), left.end(), spec.uid), 0);
 }
 
-/// One of low rank that may go anywhere.
-wire::JobSpec plain_job(SimulatedCluster& cluster, const std::string& team, std::uint32_t tasks,
-                        double estimate) {
+/// A job of low rank without placement constraints.
+wire::JobSpec low_rank_job(SimulatedCluster& cluster, const std::string& team, std::uint32_t tasks,
+                           double estimate) {
   auto spec = plain(cluster, false, tasks, team, estimate, 4);
   spec.rank = wire::Rank::Low;
   return spec;
 }
 
-// A probe lost on a broken link was never renewed while its job looked for further machines each
-// second: it never ran.
-TEST(LostProbes, AreRenewedThoughFurtherMachinesAreLookedFor) {
+// A probe lost on a broken link must be sent again although its job probes further machines every
+// second.
+TEST(LostProbes, AreResentWhileTheJobProbesFurtherMachines) {
   set_log_level();
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     SimulatedWorld world(seed);
@@ -109,26 +110,26 @@
     SimulatedCluster cluster(world, settings, {.machines_per_pool = 1, .scripted = true});
     cluster.stop_arrivals();
     cluster.run(5s);
-    auto only_there = [&](std::uint32_t tasks) {  // one machine in the world may run it
+    auto submit_for_single_machine = [&](std::uint32_t tasks) {  // only one machine may run it
       auto spec = plain(cluster, false, tasks, "blue", 4);
       spec.zone = "a";
       spec.types = std::vector<std::string>{"large"};
       spec.spot = false;
       return submit(cluster, spec);
     };
-    only_there(1);
+    submit_for_single_machine(1);
     for (int i = 0; i < 30 && !cluster.unfinished().empty(); ++i) cluster.run(5s);
     for (std::size_t i = 0; i < 3; ++i) cluster.cut(i, SimulatedCluster::Side::Peers, false, 6s);
-    only_there(4);
+    submit_for_single_machine(4);
     cluster.run(70s);
     EXPECT_TRUE(cluster.unfinished().empty()) << "seed " << seed;
     EXPECT_EQ(violations(cluster.invariants()), "");
   }
 }
 
-// A leader that stood still for longer than a lease, yet not past its grant, took all machines for
-// dead on waking and gave them back, with what ran there.
-TEST(Freeze, LeaderGivesNothingBackOnWaking) {
+// A leader that was frozen for longer than a worker lease, but not past its own lease, must not
+// consider all machines dead afterwards and terminate them.
+TEST(Freeze, LeaderTerminatesNoMachinesAfterwards) {
   set_log_level();
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     SimulatedWorld world(seed);
@@ -138,7 +139,7 @@
     cluster.stop_arrivals();
     cluster.run(5s);
     for (int i = 0; i < 4; ++i) {
-      auto spec = plain_job(cluster, "red", 3, 0);
+      auto spec = low_rank_job(cluster, "red", 3, 0);
       spec.service = true;
       spec.spot = false;
       spec.rank = wire::Rank::Production;
@@ -155,21 +156,20 @@
   }
 }
 
-// Guests' long tasks had all spot machines for minutes: what a team with a guarantee submitted then
-// waited for their end.
-TEST(Guests, GiveWayToAGuarantee) {
+// Long tasks of a team without a guarantee must not block the jobs of a team with one.
+TEST(Preemption, TasksOfATeamWithoutAGuaranteeArePreemptedForAGuarantee) {
   set_log_level();
   for (const double estimate : {80.0, 10.0}) {
     SimulatedWorld world(3);
     SimulatedCluster cluster(world, settings_for_tests(), {});
     cluster.stop_arrivals();
     cluster.run(5s);
-    cluster.submit(plain_job(cluster, "blue", 400, 400));
+    cluster.submit(low_rank_job(cluster, "blue", 400, 400));
     cluster.run(60s);
     EXPECT_GT(cluster.invariants().starts(), 50u);
     std::set<std::string> uids;
     for (int i = 0; i < 2; ++i) {
-      const auto spec = plain_job(cluster, "red", 5, estimate);
+      const auto spec = low_rank_job(cluster, "red", 5, estimate);
       uids.insert(spec.uid);
       cluster.submit(spec);
     }
@@ -180,11 +180,11 @@
   }
 }
 
-// Short tasks took the room that ordinary machines had for services to come, and nearly each new
-// replica had some stopped.
-TEST(KeptFree, NewReplicasStopFewShortTasks) {
+// Short tasks must leave room on on-demand machines for new service replicas, which otherwise
+// preempt some of them.
+TEST(ServiceReserve, NewReplicasPreemptFewShortTasks) {
   set_log_level();
-  std::size_t begun_anew = 0;
+  std::size_t task_restarts = 0;
   for (std::uint64_t seed = 1; seed <= 32; ++seed) {
     SimulatedWorld world(seed);
     auto settings = settings_for_tests();
@@ -194,7 +194,7 @@
     cluster.stop_arrivals();
     cluster.run(60s);
     finish_first_job(cluster);
-    auto replica = plain_job(cluster, "blue", 1, 0);
+    auto replica = low_rank_job(cluster, "blue", 1, 0);
     replica.service = true;
     replica.spot = false;
     replica.cpus = 8;
@@ -205,9 +205,9 @@
     };
     for (int i = 0; i < 8; ++i) submit_replica();
     cluster.run(30s);
-    auto array = plain_job(cluster, "red", 300, 15);
+    auto array = low_rank_job(cluster, "red", 300, 15);
     array.rank = wire::Rank::Standard;
-    const auto before = cluster.invariants().starts();
+    const auto starts_before = cluster.invariants().starts();
     cluster.submit(array);
     std::size_t replicas = 0;
     for (; replicas < 6; ++replicas) {
@@ -217,15 +217,14 @@
     for (int i = 0; i < 60 && !cluster.unfinished().empty(); ++i) cluster.run(5s);
     EXPECT_TRUE(cluster.unfinished().empty());
     EXPECT_EQ(violations(cluster.invariants()), "");
-    begun_anew += cluster.invariants().starts() - before - array.tasks - replicas;
+    task_restarts += cluster.invariants().starts() - starts_before - array.tasks - replicas;
   }
-  EXPECT_LE(begun_anew, 295u);  // 266; 323 where nothing was kept free
+  EXPECT_LE(task_restarts, 295u);  // exceeded if no room is reserved
 }
 
-// A team's limit was granted to its owners eight tasks at a time, once for each look of the
-// placement: machines that were up and empty filled with forty tasks a second, and a cold start of
-// a thousand replicas took half a minute.
-TEST(Budgets, ManyTasksAreGrantedTogether) {
+// Guards against quota grants of only a few tasks per scheduling round, which fill idle machines
+// too slowly.
+TEST(TeamQuota, ManyTasksAreGrantedTogether) {
   set_log_level();
   SimulatedWorld world(2);
   auto settings = settings_for_tests();
@@ -234,7 +233,7 @@
   SimulatedCluster cluster(world, settings, {.scripted = true});
   cluster.stop_arrivals();
   cluster.run(60s);
-  auto spec = plain_job(cluster, "red", 0, 0);
+  auto spec = low_rank_job(cluster, "red", 0, 0);
   spec.service = true;
   spec.spot = false;
   spec.rank = wire::Rank::Production;
@@ -256,11 +255,11 @@
   ASSERT_EQ(cluster.running()[first], 0u);
   const auto second = submit(100);
   cluster.run(2200ms);
-  EXPECT_GE(cluster.running()[second], 90u);  // 63 where eight were granted at a time
+  EXPECT_GE(cluster.running()[second], 90u);  // missed if each round grants only eight tasks
   EXPECT_EQ(violations(cluster.invariants()), "");
 }
 
-class Trouble : public testing::Test {
+class ControllerFault : public testing::Test {
  protected:
   void SetUp() override { set_log_level(); }
   int ready(std::size_t node) {
@@ -272,10 +271,9 @@
   SimulatedCluster cluster_{world_, settings_for_tests(), {}};
 };
 
-// inc-92a9: a controller that the state service alone refused called itself ready for as long as
-// its grant counted, and users kept coming to it in vain. In an outage for all there is nobody
-// better to go to.
-TEST_F(Trouble, RefusedAloneIsNotReady) {
+// A controller that loses only its own link to the state service must report not ready, so that
+// users go to another one (inc-92a9). In an outage for all controllers each stays ready.
+TEST_F(ControllerFault, ControllerWithoutStateServiceIsNotReady) {
   cluster_.run(20s);
   for (std::size_t i = 0; i < 3; ++i) EXPECT_EQ(ready(i), 200);
   cluster_.cut(1, SimulatedCluster::Side::State, false, 9s);
@@ -289,32 +287,31 @@
   for (std::size_t i = 0; i < 3; ++i) EXPECT_EQ(ready(i), 200);
 }
 
-// Polls for the jobs of a controller that stood still used up the state service's requests, and
-// submissions waited.
-TEST_F(Trouble, ManyQuestionsCostFewRequests) {
+// Status queries for jobs of a frozen controller must not use up the request rate of the state
+// service, which submissions need.
+TEST_F(ControllerFault, ManyStatusQueriesCostFewStoreRequests) {
   cluster_.stop_arrivals();
   cluster_.run(20s);
-  auto spec = plain_job(cluster_, "red", 3, 400);
+  auto spec = low_rank_job(cluster_, "red", 3, 400);
   cluster_.submit(spec);
   cluster_.run(10s);
   const auto owner = cluster_.leader();
   cluster_.freeze(owner, 6s);
   cluster_.run(2s);
-  const auto before = cluster_.state().request_count();
-  int told = 0;
+  const auto requests_before = cluster_.state().request_count();
+  int answered = 0;
   for (int i = 0; i < 500; ++i) {
     cluster_.ask((owner + 1) % 3, {"GET", "/submissions/" + spec.uid, {}},
-                 [&](net::HttpResponse r) { told += r.status == 200; });
+                 [&](net::HttpResponse r) { answered += r.status == 200; });
     cluster_.run(2ms);
   }
   cluster_.run(1s);
-  EXPECT_EQ(told, 500);
-  EXPECT_LT(cluster_.state().request_count() - before, 60u);
+  EXPECT_EQ(answered, 500);
+  EXPECT_LT(cluster_.state().request_count() - requests_before, 60u);
 }
 
-// Where no team has a guarantee, work of low rank that nobody expects by any time gives way to that
-// of higher rank.
-TEST(Guests, IdleWorkGivesWayToHigherRank) {
+// If no team has a guarantee, tasks of low rank are preempted for those of higher rank.
+TEST(Preemption, LowRankTasksArePreemptedForHigherRank) {
   set_log_level();
   for (const double estimate : {80.0, 10.0}) {
     SimulatedWorld world(4);
@@ -323,10 +320,10 @@
     SimulatedCluster cluster(world, settings, {});
     cluster.stop_arrivals();
     cluster.run(5s);
-    cluster.submit(plain_job(cluster, "blue", 600, 600));
+    cluster.submit(low_rank_job(cluster, "blue", 600, 600));
     cluster.run(120s);
     EXPECT_GT(cluster.invariants().starts(), 50u);
-    auto spec = plain_job(cluster, "red", 40, estimate);
+    auto spec = low_rank_job(cluster, "red", 40, estimate);
     spec.rank = wire::Rank::Standard;
     cluster.submit(spec);
     cluster.run(seconds(2 * estimate + 25));
@@ -336,7 +333,8 @@
   }
 }
 
-/// The checks themselves: each planted violation must be caught, and a good day must not be.
+/// Tests InvariantChecker itself: each test plants one violation, which must be found, and no
+/// other.
 class PlantedViolation : public testing::Test {
  protected:
   void SetUp() override {
@@ -358,8 +356,7 @@
   SimulatedWorld world_{1};
   wire::Settings settings_ = settings_for_tests();
   InvariantChecker invariants_{world_, settings_};
-  InvariantChecker::KnownStatus accepted_{
-      true, {}};  ///< what a user knows that was told of the acceptance
+  InvariantChecker::KnownStatus accepted_{true, {}};  ///< the user knows of the acceptance only
   wire::JobSpec spec_;
 };
 
@@ -382,7 +379,7 @@
   invariants_.started("wk-000002/15", "m", "small", "a", false);
   EXPECT_TRUE(violated("quota"));
 }
-TEST_F(PlantedViolation, WrongPlaceKind) {
+TEST_F(PlantedViolation, WrongPlaceSpotMachine) {
   invariants_.started("wk-000001/0", "m1", "small", "a", true);
   EXPECT_TRUE(violated("wrong_place"));
 }
@@ -407,7 +404,7 @@
   invariants_.status_answered("wk-000001", accepted_, 404, "");
   EXPECT_TRUE(violated("forgotten"));
 }
-TEST_F(PlantedViolation, ForgottenOnRepeat) {
+TEST_F(PlantedViolation, ForgottenOnResubmission) {
   invariants_.submission_answered("wk-000001", accepted_, 422, "");
   EXPECT_TRUE(violated("forgotten"));
 }
@@ -430,9 +427,9 @@
   invariants_.status_answered("wk-000001", invariants_.known("wk-000001"), 200, "running");
   EXPECT_TRUE(violated("went_back"));
 }
-// Asked before the end was told: it may have been overtaken on the network. Asked afterwards, at
-// whatever node: an older answer.
-TEST_F(PlantedViolation, OnlyWhatWasAskedAfterwardsIsOlder) {
+// The answer to a request sent before the final phase was known may be older, as messages can
+// overtake each other. The answer to a later request, at any controller, may not.
+TEST_F(PlantedViolation, StaleAnswerToALaterRequest) {
   invariants_.completed("wk-000001", 0);
   invariants_.completed("wk-000001", 1);
   const auto before = invariants_.known("wk-000001");
@@ -442,7 +439,7 @@
   invariants_.status_answered("wk-000001", invariants_.known("wk-000001"), 200, "pending");
   EXPECT_TRUE(violated("went_back"));
 }
-TEST_F(PlantedViolation, TwoEnds) {
+TEST_F(PlantedViolation, TwoFinalPhases) {
   invariants_.completed("wk-000001", 0);
   invariants_.completed("wk-000001", 1);
   invariants_.asked_to_cancel("wk-000001");
@@ -450,32 +447,32 @@
   invariants_.status_answered("wk-000001", {}, 200, "done");
   EXPECT_TRUE(violated("went_back"));
 }
-TEST_F(PlantedViolation, KnownByAQuestionAlone) {
+TEST_F(PlantedViolation, ForgottenAfterAStatusQuery) {
   invariants_.status_answered("wk-000003", {}, 200, "pending");
   invariants_.status_answered("wk-000003", invariants_.known("wk-000003"), 404, "");
   EXPECT_TRUE(violated("forgotten"));
 }
-TEST_F(PlantedViolation, AcceptedAnew) {
+TEST_F(PlantedViolation, AcceptedTwice) {
   invariants_.submission_answered("wk-000003", {}, 201, "pending");
   EXPECT_TRUE(invariants_.violations().empty());
   invariants_.submission_answered("wk-000003", invariants_.known("wk-000003"), 201, "pending");
   EXPECT_TRUE(violated("went_back"));
 }
-/// What is counted, and breaks no rule by itself.
-class Counted : public PlantedViolation {
+/// Events that are counted without being violations.
+class CountedEvents : public PlantedViolation {
  protected:
   void TearDown() override { EXPECT_EQ(violations(invariants_), ""); }
 };
-TEST_F(Counted, StartedAfterCancel) {
+TEST_F(CountedEvents, StartedAfterCancel) {
   invariants_.asked_to_cancel("wk-000001");
   invariants_.status_answered("wk-000001", {}, 200, "cancelled");
   invariants_.started("wk-000001/0", "m1", "small", "a", false);
-  EXPECT_EQ(invariants_.started_after_cancel(), 0u);  // on its way
+  EXPECT_EQ(invariants_.started_after_cancel(), 0u);  // within kInTransitGrace
   world_.step(SimulatedWorld::start() + 1s);
   invariants_.started("wk-000001/1", "m2", "small", "b", false);
   EXPECT_EQ(invariants_.started_after_cancel(), 1u);
 }
-TEST_F(PlantedViolation, CancelledUnasked) {
+TEST_F(PlantedViolation, CancelledWithoutRequest) {
   invariants_.status_answered("wk-000001", {}, 200, "cancelled");
   EXPECT_TRUE(violated("went_back"));
 }
--- a/tests/simulation/state_service.cpp
+++ b/tests/simulation/state_service.cpp
@@ -18,25 +18,26 @@
 
 void StateService::set_outage(bool on) {
   if (outage_ && !on)
-    for (auto& [id, g] : leases_) g.ends = world_.now() + g.ttl;  // all get their full time again
+    // After an outage each lease gets its full TTL again.
+    for (auto& [id, g] : leases_) g.expires_at = world_.now() + g.ttl;
   outage_ = on;
-  if (!on) wake();
+  if (!on) notify_watches();
 }
 
-void StateService::log(Event event) {
+void StateService::append_to_log(Event event) {
   log_.push_back(std::move(event));
   while (log_.size() > log_size_) {
-    forgotten_ = log_.front().mod_revision;
+    compacted_revision_ = log_.front().mod_revision;
     log_.pop_front();
   }
 }
 void StateService::apply(const std::string& key, json value, std::uint64_t lease,
                          std::uint64_t mod_revision) {
-  log({key, mod_revision, false, value});
+  append_to_log({key, mod_revision, false, value});
   entries_[key] = {std::move(value), mod_revision, lease};
 }
 void StateService::erase(const std::string& key, std::uint64_t mod_revision) {
-  if (entries_.erase(key) > 0) log({key, mod_revision, true, {}});
+  if (entries_.erase(key) > 0) append_to_log({key, mod_revision, true, {}});
 }
 
 std::vector<StateService::StoredKey> StateService::content() const {
@@ -46,11 +47,11 @@
 }
 
 void StateService::restore(const std::vector<StoredKey>& content, std::uint64_t revision,
-                           Duration granted_for) {
+                           Duration lease_ttl) {
   const auto lease = next_lease_++;
-  leases_[lease] = {granted_for, world_.now() + granted_for};
-  for (const auto& k : content) entries_[k.key] = {k.value, k.mod_revision, k.granted ? lease : 0};
-  revision_ = forgotten_ = revision;
+  leases_[lease] = {lease_ttl, world_.now() + lease_ttl};
+  for (const auto& k : content) entries_[k.key] = {k.value, k.mod_revision, k.leased ? lease : 0};
+  revision_ = compacted_revision_ = revision;
 }
 
 void StateService::revoke_lease(std::uint64_t id) {
@@ -61,33 +62,34 @@
   if (keys.empty()) return;
   ++revision_;
   for (const auto& key : keys) erase(key, revision_);
-  wake();
+  notify_watches();
 }
 
 void StateService::check_leases() {
   if (outage_) return;
   std::vector<std::uint64_t> ended;
   for (const auto& [id, g] : leases_)
-    if (g.ends <= world_.now()) ended.push_back(id);
+    if (g.expires_at <= world_.now()) ended.push_back(id);
   for (auto id : ended) revoke_lease(id);
 }
 
-bool StateService::try_watch(const Watch& w, bool last) {
-  if (w.from < forgotten_) return w.answer(reply(410)), true;
-  json news = json::array();
+bool StateService::answer_watch(const Watch& w, bool even_if_empty) {
+  if (w.from_revision < compacted_revision_) return w.answer(reply(410)), true;
+  json events = json::array();
   for (const auto& e : log_) {
-    if (e.mod_revision <= w.from || e.key.compare(0, w.prefix.size(), w.prefix) != 0) continue;
-    news.push_back(e.removed ? json{{"remove", e.key}, {"stamp", e.mod_revision}}
-                             : json{{"set", e.key}, {"v", e.value}, {"stamp", e.mod_revision}});
+    if (e.mod_revision <= w.from_revision || e.key.compare(0, w.prefix.size(), w.prefix) != 0)
+      continue;
+    events.push_back(e.removed ? json{{"remove", e.key}, {"stamp", e.mod_revision}}
+                               : json{{"set", e.key}, {"v", e.value}, {"stamp", e.mod_revision}});
   }
-  if (news.empty() && !last) return false;
-  w.answer(reply(200, {{"epoch", revision_}, {"news", news}}));
+  if (events.empty() && !even_if_empty) return false;
+  w.answer(reply(200, {{"epoch", revision_}, {"news", events}}));
   return true;
 }
 
-void StateService::wake() {
+void StateService::notify_watches() {
   if (outage_) return;
-  std::erase_if(watches_, [&](auto& w) { return try_watch(w.second, false); });
+  std::erase_if(watches_, [&](auto& w) { return answer_watch(w.second, false); });
 }
 
 void StateService::handle(const net::HttpRequest& r, Answer answer) {
@@ -99,13 +101,13 @@
   if (path == "/changes") {
     const auto id = next_watch_++;
     Watch w{parameter(r.path, "prefix"), std::stoull(parameter(r.path, "from")), std::move(answer)};
-    if (try_watch(w, false)) return;
+    if (answer_watch(w, false)) return;
     watches_.emplace(id, std::move(w));
     world_.after(std::chrono::milliseconds(std::stoll("0" + parameter(r.path, "waitMs"))),
                  [this, id] {
                    auto it = watches_.find(id);
                    if (it == watches_.end() || outage_) return;
-                   try_watch(it->second, true);
+                   answer_watch(it->second, true);
                    watches_.erase(it);
                  });
   } else if (path == "/keys") {
@@ -143,7 +145,7 @@
     if (r.method == "DELETE")
       revoke_lease(id);
     else
-      it->second.ends = world_.now() + it->second.ttl;
+      it->second.expires_at = world_.now() + it->second.ttl;
     answer(reply(200));
   }
 }
@@ -175,6 +177,6 @@
             revision_);
   }
   answer(reply(200, {{"epoch", revision_}}));
-  wake();
+  notify_watches();
 }
 }  // namespace limemast::simulation
--- a/tests/simulation/state_service.hpp
+++ b/tests/simulation/state_service.hpp
@@ -5,7 +5,8 @@
 #include "simulation/simulated_world.hpp"
 
 namespace limemast::simulation {
-/// The state service after PROTOCOL: keys, conditional transactions, grants, watches, outages.
+/// The key-value store as PROTOCOL describes it: keys, conditional transactions, leases, watches
+/// and outages.
 class StateService {
  public:
   using Answer = std::function<void(net::HttpResult)>;
@@ -15,11 +16,11 @@
   void handle(const net::HttpRequest& request, Answer answer);
   void set_outage(bool on);
   std::size_t request_count() const { return request_count_; }
-  /// Puts and deletes that transactions asked for, carried out or not, as the service's limit
-  /// counts them.
+  /// The number of puts and deletes in transactions, executed or not, as the service's limit counts
+  /// them.
   std::size_t write_count() const { return write_count_; }
-  /// Keys that some transaction wrote without a condition on them: carried out late, it would
-  /// replace what is newer.
+  /// Keys that a transaction wrote without a condition on them. Such a transaction would overwrite
+  /// newer values if it were executed late.
   const std::set<std::string>& unconditionally_written_keys() const {
     return unconditionally_written_keys_;
   }
@@ -32,23 +33,23 @@
       const std::function<void(const std::string& key, const json& value)>& look) const {
     for (const auto& [key, e] : entries_) look(key, e.value);
   }
-  /// A key as another state service held it.
+  /// A key with its value, for copying between state services.
   struct StoredKey {
     std::string key;
     json value;
     std::uint64_t mod_revision = 0;
-    bool granted = false;  ///< it stands only as long as the grant of whoever wrote it
+    bool leased = false;  ///< removed when its lease expires
   };
   std::vector<StoredKey> content() const;
   std::uint64_t revision() const { return revision_; }
-  /// Takes over what another one held, before anybody asks. Grants end after `granted_for`: who had
-  /// them is no more.
-  void restore(const std::vector<StoredKey>& content, std::uint64_t revision, Duration granted_for);
-  /// Writes from outside, as any client could.
+  /// Loads the content of another state service. Must precede all requests. Leased keys expire
+  /// after `lease_ttl`, because the holders of their leases no longer exist.
+  void restore(const std::vector<StoredKey>& content, std::uint64_t revision, Duration lease_ttl);
+  /// Writes and removes a key directly, as another client would.
   void put(const std::string& key, json value) {
-    apply(key, std::move(value), 0, ++revision_), wake();
+    apply(key, std::move(value), 0, ++revision_), notify_watches();
   }
-  void remove(const std::string& key) { erase(key, ++revision_), wake(); }
+  void remove(const std::string& key) { erase(key, ++revision_), notify_watches(); }
 
  private:
   struct Entry {
@@ -58,11 +59,11 @@
   };
   struct Lease {
     Duration ttl{};
-    Time ends{};
+    Time expires_at{};
   };
   struct Watch {
     std::string prefix;
-    std::uint64_t from = 0;
+    std::uint64_t from_revision = 0;
     Answer answer;
   };
   struct Event {
@@ -73,11 +74,12 @@
   };
   void apply(const std::string& key, json value, std::uint64_t lease, std::uint64_t mod_revision);
   void erase(const std::string& key, std::uint64_t mod_revision);
-  void log(Event event);
+  void append_to_log(Event event);
   void revoke_lease(std::uint64_t id);
   void check_leases();
-  void wake();
-  bool try_watch(const Watch& w, bool last);
+  void notify_watches();
+  /// Answers the watch if it has changes or its position was compacted; true if it was answered.
+  bool answer_watch(const Watch& w, bool even_if_empty);
   void txn(const json& body, const Answer& answer);
 
   SimulatedWorld& world_;
@@ -93,6 +95,6 @@
   std::map<std::uint64_t, Lease> leases_;
   std::map<std::uint64_t, Watch> watches_;
   std::deque<Event> log_;
-  std::uint64_t forgotten_ = 0;  ///< changes up to this revision are no longer in the log
+  std::uint64_t compacted_revision_ = 0;  ///< changes up to this revision are no longer in the log
 };
 }  // namespace limemast::simulation
