--- a/tests/restart/restart_test.cpp
+++ b/tests/restart/restart_test.cpp
@@ -109,7 +109,7 @@
         until(
             12s, [&] { return reached(node, phase); }, 2ms);
         cluster_.delay_links(node, 3s,
-                            60ms);  // what it sent last, and what its successor sends first
+                             60ms);  // what it sent last, and what its successor sends first
         cluster_.run(30ms);
         cluster_.crash(node, kDelays[(round + i) % 4]);
       }
