--- a/tests/model/explore.hpp
+++ b/tests/model/explore.hpp
@@ -6,42 +6,44 @@
 
 namespace limemast::model {
 struct Outcome {
-  std::string broken;  ///< the first rule broken, with the steps that lead there; empty: none
+  std::string violation;  ///< first violated rule and the steps that lead to it; empty if none
   std::size_t states = 0;
   std::size_t depth = 0;
 };
 
-/// Breadth first, all states up to `depth` steps from the start, until a rule is broken.
-/// `steps(state, emit)` calls `emit(name, next)` for all that may happen next; `broken(state)`
-/// names the rule that it breaks, or "".
-template <class State, class Key, class Steps, class Broken>
-void explore(const State& start, std::size_t depth, Key key_of, Steps steps, Broken rule_broken,
-             Outcome& out) {
-  struct Seen {
-    std::string from;
+/// Visits all states within `max_depth` steps of `start` in breadth-first order and stops at the
+/// first violated rule. `for_each_step(state, emit)` calls `emit(name, next)` for each possible
+/// step. `rule_violated(state)` returns the name of the rule that the state violates, or "".
+template <class State, class Key, class Steps, class Rules>
+void explore(const State& start, std::size_t max_depth, Key key_of, Steps for_each_step,
+             Rules rule_violated, Outcome& out) {
+  struct Visit {
+    std::string previous;
     const char* step;
   };
-  std::unordered_map<std::string, Seen> seen;
-  seen.emplace(key_of(start), Seen{{}, ""});
-  std::deque<std::pair<State, std::size_t>> todo{{start, 0}};
-  while (!todo.empty() && out.broken.empty()) {
-    auto [state, at] = std::move(todo.front());
-    todo.pop_front();
-    out.depth = at;
-    if (at == depth) continue;
+  std::unordered_map<std::string, Visit> visited;
+  visited.emplace(key_of(start), Visit{{}, ""});
+  std::deque<std::pair<State, std::size_t>> pending{{start, 0}};
+  while (!pending.empty() && out.violation.empty()) {
+    auto [state, depth] = std::move(pending.front());
+    pending.pop_front();
+    out.depth = depth;
+    if (depth == max_depth) continue;
     const auto from = key_of(state);
-    steps(state, [&](const char* step, const State& next) {
-      if (!out.broken.empty() || !seen.emplace(key_of(next), Seen{from, step}).second) return;
-      if (auto rule = rule_broken(next); !rule.empty()) {
+    for_each_step(state, [&](const char* step, const State& next) {
+      if (!out.violation.empty() || !visited.emplace(key_of(next), Visit{from, step}).second)
+        return;
+      if (auto rule = rule_violated(next); !rule.empty()) {
         std::string path;
-        for (auto k = key_of(next); !k.empty() && !seen.at(k).from.empty(); k = seen.at(k).from)
-          path = std::string(seen.at(k).step) + "; " + path;
-        out.broken = rule + ": " + path;
+        for (auto key = key_of(next); !key.empty() && !visited.at(key).previous.empty();
+             key = visited.at(key).previous)
+          path = std::string(visited.at(key).step) + "; " + path;
+        out.violation = rule + ": " + path;
         return;
       }
-      todo.emplace_back(next, at + 1);
+      pending.emplace_back(next, depth + 1);
     });
   }
-  out.states = seen.size();
+  out.states = visited.size();
 }
 }  // namespace limemast::model
--- a/tests/model/model.cpp
+++ b/tests/model/model.cpp
@@ -5,299 +5,323 @@
 
 namespace limemast::model {
 namespace {
-constexpr std::uint8_t kFresh = 2;  ///< ticks
-constexpr std::uint8_t kHold = 2;
+constexpr std::uint8_t kCertainTicks = 2;
+constexpr std::uint8_t kCompletionHoldTicks = 2;
+constexpr std::uint8_t kAllMachines = 3;              ///< Controller::reported_machines
+constexpr std::uint8_t kStartCommandPending = 2;      ///< Controller::pending_send
+constexpr std::uint8_t kSuspected = 1, kEvicted = 2;  ///< State::suspicion
+constexpr std::uint8_t kStarted = 0, kNoState = 1, kPreviousLeaseEnded = 2;  ///< start_phase
+constexpr std::uint8_t kCancelled = 1;  ///< State::final_status
 
-std::string key_of(const State& s) {
+std::string key_of(const State& state) {
   std::string key;
-  auto put = [&](unsigned v) { key.push_back(static_cast<char>(v)); };
-  for (const auto& n : s.nodes)
-    for (unsigned v :
-         {unsigned{n.epoch}, unsigned{n.leader}, unsigned{n.has_grant}, unsigned{n.fresh},
-          unsigned{n.frozen}, unsigned{n.bound}, unsigned{n.shown}, unsigned{n.told_end},
-          unsigned{n.hold}, unsigned{n.answer}, unsigned{n.starting}})
-      put(v);
-  for (unsigned v : {unsigned{s.machines[0].fencing_token},
-                     unsigned{s.machines[0].runs},
-                     unsigned{s.machines[1].fencing_token},
-                     unsigned{s.machines[1].runs},
-                     unsigned{s.lease[0]},
-                     unsigned{s.lease[1]},
-                     unsigned{s.epoch},
-                     unsigned{s.leader},
-                     unsigned{s.member[0]},
-                     unsigned{s.member[1]},
-                     unsigned{s.suspect[0]},
-                     unsigned{s.suspect[1]},
-                     unsigned{s.final},
-                     unsigned{s.away},
-                     unsigned{s.order[0]},
-                     unsigned{s.order[1]},
-                     unsigned{s.user_told_end},
-                     unsigned{s.went_back},
-                     unsigned{s.away_left},
-                     unsigned{s.freezes_left},
-                     unsigned{s.ticks_left},
-                     unsigned{s.restarts_left},
-                     unsigned{s.run[0]},
-                     unsigned{s.run[1]},
-                     unsigned{s.late_delete}})
-    put(v);
+  auto put = [&](unsigned value) { key.push_back(static_cast<char>(value)); };
+  for (const auto& node : state.controllers)
+    for (unsigned value :
+         {unsigned{node.epoch}, unsigned{node.leader}, unsigned{node.believes_leased},
+          unsigned{node.certain_ticks}, unsigned{node.frozen}, unsigned{node.assigned_epoch},
+          unsigned{node.reported_machines}, unsigned{node.knows_job_ended},
+          unsigned{node.completion_hold_ticks}, unsigned{node.pending_send},
+          unsigned{node.start_phase}})
+      put(value);
+  for (unsigned value : {unsigned{state.machines[0].fencing_token},
+                         unsigned{state.machines[0].runs_task},
+                         unsigned{state.machines[1].fencing_token},
+                         unsigned{state.machines[1].runs_task},
+                         unsigned{state.leased[0]},
+                         unsigned{state.leased[1]},
+                         unsigned{state.epoch},
+                         unsigned{state.leader},
+                         unsigned{state.member_incarnation[0]},
+                         unsigned{state.member_incarnation[1]},
+                         unsigned{state.suspicion[0]},
+                         unsigned{state.suspicion[1]},
+                         unsigned{state.final_status},
+                         unsigned{state.store_down},
+                         unsigned{state.start_command[0]},
+                         unsigned{state.start_command[1]},
+                         unsigned{state.user_told_end},
+                         unsigned{state.status_went_backwards},
+                         unsigned{state.outages_left},
+                         unsigned{state.freezes_left},
+                         unsigned{state.ticks_left},
+                         unsigned{state.restarts_left},
+                         unsigned{state.incarnation[0]},
+                         unsigned{state.incarnation[1]},
+                         unsigned{state.late_lease_delete}})
+    put(value);
   return key;
 }
 
-/// All that may happen next. `emit` gets each with the name of the step.
+/// Emits every step that is possible in a state, with its name and the state that it leads to.
 class Steps {
  public:
   using Emit = std::function<void(const char*, const State&)>;
   Steps(const Variant& variant, Emit emit) : variant_(variant), emit_(std::move(emit)) {}
 
-  void from(const State& s) {
-    world(s);
+  void from(const State& state) {
+    environment(state);
     for (std::size_t i = 0; i < 2; ++i) {
-      if (s.nodes[i].frozen) {
-        auto t = s;
-        t.nodes[i].frozen = false;
-        emit_("wakes", t);
+      if (state.controllers[i].frozen) {
+        auto next = state;
+        next.controllers[i].frozen = false;
+        emit_("controller resumes", next);
         continue;
       }
-      start(s, i);
-      membership(s, i);
-      verdict(s, i);
-      work(s, i);
-      users(s, i);
+      restart(state, i);
+      membership(state, i);
+      evict(state, i);
+      schedule(state, i);
+      answer_user(state, i);
     }
   }
 
  private:
-  bool may_act(const State& s, std::size_t i) const {
-    const auto& n = s.nodes[i];
-    return n.has_grant && n.epoch > 0;
+  bool is_member(const State& state, std::size_t i) const {
+    const auto& node = state.controllers[i];
+    return node.believes_leased && node.epoch > 0;
   }
-  bool lease_certain(const State& s, std::size_t i) const {
-    return may_act(s, i) && (!variant_.lease_certain || s.nodes[i].fresh > 0);
+  bool may_answer_from_memory(const State& state, std::size_t i) const {
+    return is_member(state, i) &&
+           (!variant_.certain_before_answer || state.controllers[i].certain_ticks > 0);
+  }
+  bool store_available(const State& state) const { return !state.store_down; }
+  /// The epoch names the incarnation of controller i's node key.
+  bool epoch_names_incarnation(const State& state, std::size_t i) const {
+    return state.member_incarnation[i] == state.incarnation[i];
+  }
+  bool leader_alive(const State& state) const {
+    return state.leased[state.leader] && epoch_names_incarnation(state, state.leader);
   }
-  bool served(const State& s) const { return !s.away; }
-  /// The run that holds controller i's node key is named by the generation.
-  bool named(const State& s, std::size_t i) const { return s.member[i] == s.run[i]; }
-  bool leader_lives(const State& s) const { return s.lease[s.leader] && named(s, s.leader); }
 
-  /// A process ends, with all that it knows, and another is there at once; what the one before sent
-  /// is still under way.
-  void start(const State& s, std::size_t i) {
-    const auto& n = s.nodes[i];
-    if (s.restarts_left > 0 && n.starting == 0) {
-      auto t = s;
-      --t.restarts_left;
-      t.nodes[i] = Controller{};
-      t.nodes[i].has_grant = false;
-      t.nodes[i].fresh = 0;
-      t.nodes[i].starting = 1;
-      if (!variant_.new_run &&
-          n.has_grant) {  // it takes up the node key and the generation of the run before
-        t.nodes[i] = n;
-        t.nodes[i].bound = t.nodes[i].answer = 0;
+  /// A process restarts at once and loses its memory; its previous messages stay in flight.
+  void restart(const State& state, std::size_t i) {
+    const auto& node = state.controllers[i];
+    if (state.restarts_left > 0 && node.start_phase == kStarted) {
+      auto next = state;
+      --next.restarts_left;
+      next.controllers[i] = Controller{};
+      next.controllers[i].believes_leased = false;
+      next.controllers[i].certain_ticks = 0;
+      next.controllers[i].start_phase = kNoState;
+      // Without this safeguard it reuses the node key and the epoch of its previous incarnation.
+      if (!variant_.new_incarnation && node.believes_leased) {
+        next.controllers[i] = node;
+        next.controllers[i].assigned_epoch = next.controllers[i].pending_send = 0;
       }
-      emit_("is back at once", t);
+      emit_("controller restarts", next);
     }
-    if (n.starting == 1 && served(s)) {
-      auto t = s;
-      t.lease[i] = false;
-      t.suspect[i] = 0;  // of a run that is no more: whoever leads takes it away
-      t.nodes[i].starting = 2;
-      emit_("ends the grant of the run before", t);
+    if (node.start_phase == kNoState && store_available(state)) {
+      auto next = state;
+      next.leased[i] = false;
+      next.suspicion[i] = 0;  // the leader removes a suspicion of an ended incarnation
+      next.controllers[i].start_phase = kPreviousLeaseEnded;
+      emit_("ends its previous lease", next);
     }
-    if (n.starting == 2 && served(s)) {
-      auto t = s;
-      t.lease[i] = true;
-      ++t.run[i];
-      t.nodes[i].starting = 0;
-      t.nodes[i].has_grant = true;
-      t.nodes[i].fresh = kFresh;
-      emit_("joins", t);
+    if (node.start_phase == kPreviousLeaseEnded && store_available(state)) {
+      auto next = state;
+      next.leased[i] = true;
+      ++next.incarnation[i];
+      next.controllers[i].start_phase = kStarted;
+      next.controllers[i].believes_leased = true;
+      next.controllers[i].certain_ticks = kCertainTicks;
+      emit_("creates its lease and node key", next);
     }
-    if (s.late_delete && i == 1 && served(s)) {
-      auto t = s;
-      t.late_delete = false;
-      if (s.run[1] == 1) t.lease[1] = false;  // it names the permit of that run
-      emit_("a late end of a grant arrives", t);
+    if (state.late_lease_delete && i == 1 && store_available(state)) {
+      auto next = state;
+      next.late_lease_delete = false;
+      // The deletion names the lease of the first incarnation.
+      if (state.incarnation[1] == 1) next.leased[1] = false;
+      emit_("late lease deletion arrives", next);
     }
   }
 
-  void world(const State& s) {
-    if (s.ticks_left > 0) {
-      auto t = s;
-      --t.ticks_left;
-      for (auto& n : t.nodes) {
-        n.fresh -= n.fresh > 0;
-        n.hold -= n.hold > 0;
+  void environment(const State& state) {
+    if (state.ticks_left > 0) {
+      auto next = state;
+      --next.ticks_left;
+      for (auto& node : next.controllers) {
+        node.certain_ticks -= node.certain_ticks > 0;
+        node.completion_hold_ticks -= node.completion_hold_ticks > 0;
       }
-      emit_("time passes", t);
+      emit_("time passes", next);
     }
-    if (!s.away && s.away_left > 0) {
-      auto t = s;
-      t.away = true;
-      --t.away_left;
-      emit_("state service away", t);
+    if (!state.store_down && state.outages_left > 0) {
+      auto next = state;
+      next.store_down = true;
+      --next.outages_left;
+      emit_("store outage begins", next);
     }
-    if (s.away) {
-      auto t = s;
-      t.away = false;
-      emit_("state service back", t);
+    if (state.store_down) {
+      auto next = state;
+      next.store_down = false;
+      emit_("store outage ends", next);
     }
-    // An order arrives, in time, late or once more: the machine drops what bears a lower mandate
-    // than it has seen.
+    // A start command arrives, possibly late or repeatedly. The machine drops it if its fencing
+    // token is lower than the highest that the machine has seen.
     for (std::size_t i = 0; i < 2; ++i) {
-      if (s.order[i] == 0) continue;
-      if (s.order[i] >= s.machines[i].fencing_token) {
-        auto t = s;
-        t.machines[i] = {s.order[i], true};
-        emit_("order arrives", t);
+      if (state.start_command[i] == 0) continue;
+      if (state.start_command[i] >= state.machines[i].fencing_token) {
+        auto next = state;
+        next.machines[i] = {state.start_command[i], true};
+        emit_("start command arrives", next);
       }
-      auto lost = s;
-      lost.order[i] = 0;
-      emit_("order is lost", lost);
+      auto lost = state;
+      lost.start_command[i] = 0;
+      emit_("start command is lost", lost);
     }
   }
 
-  void membership(const State& s, std::size_t i) {
-    const auto& n = s.nodes[i];
-    if (served(s) && s.lease[i] && n.has_grant && n.fresh < kFresh) {
-      auto t = s;
-      t.nodes[i].fresh = kFresh;
-      emit_("renews", t);
+  void membership(const State& state, std::size_t i) {
+    const auto& node = state.controllers[i];
+    if (store_available(state) && state.leased[i] && node.believes_leased &&
+        node.certain_ticks < kCertainTicks) {
+      auto next = state;
+      next.controllers[i].certain_ticks = kCertainTicks;
+      emit_("renews its lease", next);
     }
-    if (served(s) && !s.lease[i] && n.has_grant && n.starting == 0) {
-      auto t = s;
-      t.nodes[i].has_grant = false;  // it starts anew and remembers nothing: that run is over
-      t.nodes[i].epoch = 0;
-      t.nodes[i].bound = 0;
-      t.nodes[i].answer = 0;
-      emit_("learns its end", t);
+    if (store_available(state) && !state.leased[i] && node.believes_leased &&
+        node.start_phase == kStarted) {
+      auto next = state;
+      next.controllers[i].believes_leased = false;  // it restarts without any memory
+      next.controllers[i].epoch = 0;
+      next.controllers[i].assigned_epoch = 0;
+      next.controllers[i].pending_send = 0;
+      emit_("learns that its lease has ended", next);
     }
-    if (served(s) && n.has_grant && named(s, i) && n.epoch < s.epoch) {
-      auto t = s;
-      auto& m = t.nodes[i];
-      m.epoch = s.epoch;
-      m.leader = s.leader;
-      m.shown = 0;
-      m.told_end =
-          m.told_end ||
-          s.final != 0;  // whoever sees a generation has seen all that was written before it
-      if (!s.member[1 - i] || variant_.restarts > 0) m.hold = kHold;
-      emit_("sees the generation", t);
+    if (store_available(state) && node.believes_leased && epoch_names_incarnation(state, i) &&
+        node.epoch < state.epoch) {
+      auto next = state;
+      auto& updated = next.controllers[i];
+      updated.epoch = state.epoch;
+      updated.leader = state.leader;
+      updated.reported_machines = 0;
+      // A controller that sees an epoch has seen all writes before it.
+      updated.knows_job_ended = updated.knows_job_ended || state.final_status != 0;
+      if (!state.member_incarnation[1 - i] || variant_.restarts > 0)
+        updated.completion_hold_ticks = kCompletionHoldTicks;
+      emit_("sees the epoch", next);
     }
-    // A node key has come or gone: the leader writes a generation, or whoever wins the leadership
-    // of one that is gone.
+    // A node key was added or removed: the leader writes an epoch. If the leader is gone, the
+    // controller that wins the election does so.
     const auto other = 1 - i;
-    const std::uint8_t there = s.lease[other] ? s.run[other] : 0;
-    const bool may = leader_lives(s) ? s.leader == i && may_act(s, i) : n.has_grant;
-    if (served(s) && s.lease[i] && n.starting == 0 && may &&
-        (s.member[other] != there || !named(s, i))) {
-      auto t = s;
-      t.member[other] = there;
-      t.member[i] = s.run[i];
-      t.leader = static_cast<std::uint8_t>(i);
-      ++t.epoch;
-      emit_("writes a generation", t);
+    const std::uint8_t present = state.leased[other] ? state.incarnation[other] : 0;
+    const bool may_write =
+        leader_alive(state) ? state.leader == i && is_member(state, i) : node.believes_leased;
+    if (store_available(state) && state.leased[i] && node.start_phase == kStarted && may_write &&
+        (state.member_incarnation[other] != present || !epoch_names_incarnation(state, i))) {
+      auto next = state;
+      next.member_incarnation[other] = present;
+      next.member_incarnation[i] = state.incarnation[i];
+      next.leader = static_cast<std::uint8_t>(i);
+      ++next.epoch;
+      emit_("writes an epoch", next);
     }
-    if (s.freezes_left > 0) {
-      auto t = s;
-      t.nodes[i].frozen = true;
-      --t.freezes_left;
-      emit_("stands still", t);
+    if (state.freezes_left > 0) {
+      auto next = state;
+      next.controllers[i].frozen = true;
+      --next.freezes_left;
+      emit_("controller freezes", next);
     }
   }
 
-  void verdict(const State& s, std::size_t i) {
+  void evict(const State& state, std::size_t i) {
     const auto other = 1 - i;
-    if (!served(s) || !s.lease[i] || !may_act(s, i)) return;
-    if (s.suspect[i] == 1) {
-      auto t = s;
-      t.suspect[i] = 0;
-      emit_("strikes out", t);
+    if (!store_available(state) || !state.leased[i] || !is_member(state, i)) return;
+    if (state.suspicion[i] == kSuspected) {
+      auto next = state;
+      next.suspicion[i] = 0;
+      emit_("clears the suspicion of itself", next);
     }
-    if (s.suspect[i] == 2) {  // a verdict on us: nothing of ours passes its fences
+    if (state.suspicion[i] == kEvicted) {  // evicted: the conditions of its transactions fail
       return;
     }
-    if (s.lease[other] && s.suspect[other] == 0) {
-      auto t = s;
-      t.suspect[other] = 1;
-      emit_("suspects", t);
+    if (state.leased[other] && state.suspicion[other] == 0) {
+      auto next = state;
+      next.suspicion[other] = kSuspected;
+      emit_("suspects the other controller", next);
     }
-    if (s.suspect[other] == 1) {
-      auto t = s;
-      t.suspect[other] = 2;
-      emit_("rules", t);
+    if (state.suspicion[other] == kSuspected) {
+      auto next = state;
+      next.suspicion[other] = kEvicted;
+      emit_("evicts the other controller", next);
     }
-    if (variant_.restarts > 0 && other == 1 && s.suspect[1] == 2 && s.run[1] == 1 &&
-        !s.late_delete) {
-      auto t = s;
-      t.late_delete = true;
-      emit_("sends the end of the grant", t);
+    if (variant_.restarts > 0 && other == 1 && state.suspicion[1] == kEvicted &&
+        state.incarnation[1] == 1 && !state.late_lease_delete) {
+      auto next = state;
+      next.late_lease_delete = true;
+      emit_("sends the lease deletion", next);
     }
-    if (s.suspect[other] == 2 && s.lease[other]) {
-      auto t = s;
-      t.lease[other] = false;
-      emit_("ends the grant", t);
+    if (state.suspicion[other] == kEvicted && state.leased[other]) {
+      auto next = state;
+      next.leased[other] = false;
+      emit_("ends the other controller's lease", next);
     }
   }
 
-  bool owns(const State& s, std::size_t i) const { return may_act(s, i) && s.nodes[i].leader == i; }
+  bool owns(const State& state, std::size_t i) const {
+    return is_member(state, i) && state.controllers[i].leader == i;
+  }
 
-  void work(const State& s, std::size_t i) {
-    const auto& n = s.nodes[i];
-    if (!owns(s, i)) return;
-    // A machine reports: it shows the new mandate to whoever is entitled, and what it runs.
+  void schedule(const State& state, std::size_t i) {
+    const auto& node = state.controllers[i];
+    if (!owns(state, i)) return;
+    // A machine sends a heartbeat with its tasks, and adopts the fencing token of a controller
+    // whose epoch is not older than that token.
     for (std::size_t m = 0; m < 2; ++m) {
-      const auto& machine = s.machines[m];
-      if (n.epoch < machine.fencing_token) continue;
-      auto t = s;
-      auto& me = t.nodes[i];
-      t.machines[m].fencing_token = n.epoch;
-      me.shown = static_cast<std::uint8_t>(n.shown | 1u << m);
-      if (machine.runs && n.told_end)
-        t.machines[m].runs = false;  // what runs of a job that has ended is killed
-      else if (machine.runs && n.bound == 0)
-        me.bound = n.epoch;  // found there and taken over
-      emit_("a machine shows itself", t);
+      const auto& machine = state.machines[m];
+      if (node.epoch < machine.fencing_token) continue;
+      auto next = state;
+      auto& updated = next.controllers[i];
+      next.machines[m].fencing_token = node.epoch;
+      updated.reported_machines = static_cast<std::uint8_t>(node.reported_machines | 1u << m);
+      if (machine.runs_task && node.knows_job_ended)
+        next.machines[m].runs_task = false;  // tasks of ended jobs are killed
+      else if (machine.runs_task && node.assigned_epoch == 0)
+        updated.assigned_epoch = node.epoch;  // takes over the running task
+      emit_("machine sends a heartbeat", next);
     }
-    const bool open = n.shown == 3 || n.epoch == 1 || !variant_.gate;
-    if (n.bound == 0 && !n.told_end && open && n.answer == 0) {
-      auto t = s;
-      t.nodes[i].bound = n.epoch;
-      t.nodes[i].answer = 2;
-      emit_("hands out", t);
+    const bool barrier_open =
+        node.reported_machines == kAllMachines || node.epoch == 1 || !variant_.failover_barrier;
+    if (node.assigned_epoch == 0 && !node.knows_job_ended && barrier_open &&
+        node.pending_send == 0) {
+      auto next = state;
+      next.controllers[i].assigned_epoch = node.epoch;
+      next.controllers[i].pending_send = kStartCommandPending;
+      emit_("assigns the task", next);
     }
-    if (n.answer == 2) {
-      auto t = s;
-      t.nodes[i].answer = 0;
-      // Decided under one generation and sent under it; the variant takes whatever the service says
-      // is newest.
-      t.order[i] = variant_.generation_on_orders ? n.bound : s.epoch;
-      emit_("sends the order", t);
+    if (node.pending_send == kStartCommandPending) {
+      auto next = state;
+      next.controllers[i].pending_send = 0;
+      // The command carries the epoch in which it was decided; the variant reads the newest one
+      // from the store.
+      next.start_command[i] =
+          variant_.deciding_epoch_on_commands ? node.assigned_epoch : state.epoch;
+      emit_("sends the start command", next);
     }
-    // A user cancels: the end is one write, on all fences.
-    const bool ownership_guards = served(s) && s.lease[i] && named(s, i) && s.epoch == n.epoch;
-    const bool taken_over = n.epoch > 1;
-    if (ownership_guards && s.final == 0 && !(variant_.hold && taken_over && n.hold > 0)) {
-      auto t = s;
-      t.final = 1;
-      t.nodes[i].told_end = true;
-      t.user_told_end = true;
-      emit_("commits the end", t);
+    // A user cancels: one transaction writes the end, conditional on lease, membership and epoch.
+    const bool ownership_guards = store_available(state) && state.leased[i] &&
+                                  epoch_names_incarnation(state, i) && state.epoch == node.epoch;
+    const bool taken_over = node.epoch > 1;
+    if (ownership_guards && state.final_status == 0 &&
+        !(variant_.completion_hold && taken_over && node.completion_hold_ticks > 0)) {
+      auto next = state;
+      next.final_status = kCancelled;
+      next.controllers[i].knows_job_ended = true;
+      next.user_told_end = true;
+      emit_("commits the end of the job", next);
     }
   }
 
-  /// A user asks: the answer is decided, and leaves at once or when the controller wakes. An answer
-  /// to a question that was asked before the end was told is not a later answer, so only those
-  /// decided after it count.
-  void users(const State& s, std::size_t i) {
-    const auto& n = s.nodes[i];
-    if (owns(s, i) && lease_certain(s, i) && !n.told_end && s.user_told_end) {
-      auto t = s;
-      t.went_back = true;
-      emit_("tells a user that the job runs", t);
+  /// A user queries the status. Only answers that are decided after a user was told of the end
+  /// count: an earlier answer "running" may still arrive later.
+  void answer_user(const State& state, std::size_t i) {
+    const auto& node = state.controllers[i];
+    if (owns(state, i) && may_answer_from_memory(state, i) && !node.knows_job_ended &&
+        state.user_told_end) {
+      auto next = state;
+      next.status_went_backwards = true;
+      emit_("tells a user that the job runs", next);
     }
   }
 
@@ -305,24 +329,25 @@
   Emit emit_;
 };
 
-std::string rule_broken(const State& s) {
-  if (s.machines[0].runs && s.machines[1].runs) return "ran_twice";
-  if (s.went_back) return "went_back";
+std::string rule_violated(const State& state) {
+  if (state.machines[0].runs_task && state.machines[1].runs_task) return "ran_twice";
+  if (state.status_went_backwards) return "went_back";
   return {};
 }
 }  // namespace
 
-Outcome search(const Variant& variant, std::size_t depth) {
+Outcome search(const Variant& variant, std::size_t max_depth) {
   Outcome out;
   State start;
   start.restarts_left = variant.restarts;
-  if (variant.restarts > 0) start.away_left = 0, start.freezes_left = 1, start.ticks_left = 3;
-  for (auto& n : start.nodes) n.epoch = 1;
-  start.nodes[0].shown = start.nodes[1].shown = 3;
+  if (variant.restarts > 0) start.outages_left = 0, start.freezes_left = 1, start.ticks_left = 3;
+  for (auto& node : start.controllers) node.epoch = 1;
+  start.controllers[0].reported_machines = start.controllers[1].reported_machines = kAllMachines;
   for (auto& m : start.machines) m.fencing_token = 1;
   explore(
-      start, depth, key_of, [&](const State& s, const auto& emit) { Steps(variant, emit).from(s); },
-      rule_broken, out);
+      start, max_depth, key_of,
+      [&](const State& state, const auto& emit) { Steps(variant, emit).from(state); },
+      rule_violated, out);
   return out;
 }
 }  // namespace limemast::model
--- a/tests/model/model.hpp
+++ b/tests/model/model.hpp
@@ -5,70 +5,75 @@
 #include "model/explore.hpp"
 
 namespace limemast::model {
-/// A small model of grant, suspicion, verdict, generation, mandate and binding: two controllers,
-/// two machines, one job of one task, which the one controller would start on the one machine and
-/// the other on the other. Each step is one that the real parts take, or one that the world takes:
-/// a message lost, late or repeated, a controller that stands still between deciding and sending,
-/// the state service away. Time is counted in steps of the longest time for which a controller may
-/// be certain of its membership, so that "fresh" is one flag that time clears.
+/// A model of leases, suspicion, eviction, epochs, fencing tokens and task assignment. It has two
+/// controllers, two machines and one job of one task, which controller i would start on machine i.
+/// A step is an action of a controller or machine, or a fault: a message that is lost, late or
+/// repeated, a controller that is frozen between deciding and sending, or an outage of the
+/// key-value store. One tick is the longest time for which a controller may be certain of its
+/// membership.
 ///
 /// The state is plain bytes, so that states can be hashed and compared.
 struct Controller {
-  std::uint8_t epoch = 0;   ///< newest seen; 0: none
-  std::uint8_t leader = 0;  ///< of that generation
-  bool has_grant = true;    ///< as it believes: it has not heard that it ended
-  std::uint8_t fresh = 2;   ///< ticks for which a renewal that was granted makes it certain
+  std::uint8_t epoch = 0;          ///< newest epoch seen; 0: none
+  std::uint8_t leader = 0;         ///< leader of that epoch
+  bool believes_leased = true;     ///< true until the controller learns that its lease has ended
+  std::uint8_t certain_ticks = 2;  ///< remaining ticks for which a renewal guarantees membership
   bool frozen = false;
-  std::uint8_t bound = 0;   ///< generation under which it handed the task out; 0: not handed out
-  std::uint8_t shown = 0;   ///< machines that have shown its generation, a bit each
-  bool told_end = false;    ///< it knows that the job has ended
-  std::uint8_t hold = 0;    ///< ticks before it may write the end of what it took over
-  std::uint8_t answer = 0;  ///< decided, not sent yet: 1 "runs", 2 an order to run
-  std::uint8_t starting =
-      0;  ///< 1: a process that knows nothing; 2: the grant of the one before is ended
+  std::uint8_t assigned_epoch = 0;     ///< epoch in which it assigned the task; 0: not assigned
+  std::uint8_t reported_machines = 0;  ///< bit set of machines that reported under its epoch
+  bool knows_job_ended = false;
+  std::uint8_t completion_hold_ticks = 0;  ///< ticks until it may write the end of a job that it
+                                           ///< took over
+  std::uint8_t pending_send = 0;           ///< 0: nothing, 2: a start command, decided but not sent
+  std::uint8_t start_phase = 0;  ///< 0: started, 1: no state yet, 2: previous incarnation's lease
+                                 ///< ended
 };
 struct Machine {
-  std::uint8_t fencing_token = 0;  ///< generation of the highest mandate seen
-  bool runs = false;
+  std::uint8_t fencing_token = 0;  ///< epoch of the highest fencing token seen
+  bool runs_task = false;
 };
 struct State {
-  std::array<Controller, 2> nodes;
+  std::array<Controller, 2> controllers;
   std::array<Machine, 2> machines;
-  // The state service.
-  std::array<bool, 2> lease{true, true};
+  // Content of the key-value store.
+  std::array<bool, 2> leased{true, true};
   std::uint8_t epoch = 1;
   std::uint8_t leader = 0;
-  std::array<std::uint8_t, 2> run{
-      1, 1};  ///< of each controller: the one that its node key names, or named last
-  std::array<std::uint8_t, 2> member{1, 1};   ///< the runs that the generation names; 0: none
-  std::array<std::uint8_t, 2> suspect{0, 0};  ///< 0 none, 1 suspected, 2 ruled on
-  std::uint8_t final = 0;                     ///< 0 open, 1 cancelled
-  bool away = false;
-  // Messages under way: an order to run, by sender, with the generation of its mandate; it may be
-  // late or repeated.
-  std::array<std::uint8_t, 2> order{0, 0};
-  // What users know.
+  std::array<std::uint8_t, 2> incarnation{
+      1, 1};  ///< incarnation that each controller's node key names, or named last
+  std::array<std::uint8_t, 2> member_incarnation{1, 1};  ///< named by the epoch; 0: not a member
+  std::array<std::uint8_t, 2> suspicion{0, 0};           ///< 0: none, 1: suspected, 2: evicted
+  std::uint8_t final_status = 0;                         ///< 0: open, 1: cancelled
+  bool store_down = false;
+  // The start command in flight from each controller: the epoch of its fencing token, or 0. It may
+  // arrive late or repeatedly.
+  std::array<std::uint8_t, 2> start_command{0, 0};
+  // What users were told.
   bool user_told_end = false;
-  bool went_back = false;
-  std::uint8_t away_left = 1, freezes_left = 2, ticks_left = 6, restarts_left = 0;
-  bool late_delete = false;  ///< of controller 1's first grant, under way
+  bool status_went_backwards = false;  ///< a user was told "running" after "ended"
+  // How many more faults and ticks may occur.
+  std::uint8_t outages_left = 1, freezes_left = 2, ticks_left = 6, restarts_left = 0;
+  bool late_lease_delete = false;  ///< in flight: the deletion of controller 1's first lease
 
   bool operator==(const State&) const = default;
 };
 
-/// Parts of the real logic that may be left out, to see that the checker finds what each is for.
+/// Each flag disables one safeguard of the real logic, so that tests can verify that the checker
+/// finds the violation which the safeguard prevents.
 struct Variant {
-  bool gate = true;           ///< a new owner waits until the machine has shown its generation
-  bool lease_certain = true;  ///< users are told from memory only while certain of the membership
-  bool generation_on_orders =
-      true;  ///< an order bears the generation in which it was decided, not the newest
-  bool new_run =
-      true;  ///< a process that starts is no member before a generation names its own run
-  std::uint8_t restarts = 0;  ///< processes that end and are back at once; then one stands still
-                              ///< less, and the service is never away
-  bool hold = true;  ///< the end of what was taken over is written only when the lost are silent
+  bool failover_barrier = true;  ///< a new owner waits until all machines reported under its epoch
+  bool certain_before_answer =
+      true;  ///< a controller answers users from memory only while certain of its membership
+  bool deciding_epoch_on_commands =
+      true;  ///< a command carries the epoch in which it was decided, not the newest one
+  bool new_incarnation =
+      true;  ///< a restarted process is a member only once an epoch names its own incarnation
+  std::uint8_t restarts = 0;    ///< immediate restarts of processes; if there are any, freezes and
+                                ///< ticks are fewer and the store has no outage
+  bool completion_hold = true;  ///< a new owner writes the end of a job that it took over only
+                                ///< after the old owner has stopped answering users
 };
 
-/// Breadth first, all states up to `depth` steps from the start.
-Outcome search(const Variant& variant, std::size_t depth);
+/// Checks all states within `max_depth` steps of the start.
+Outcome search(const Variant& variant, std::size_t max_depth);
 }  // namespace limemast::model
--- a/tests/model/model_test.cpp
+++ b/tests/model/model_test.cpp
@@ -6,57 +6,58 @@
 
 namespace limemast::model {
 namespace {
-constexpr std::size_t kDepth = 15;
+constexpr std::size_t kMaxDepth = 15;
 
-Outcome check(const char* name, const Variant& variant, std::size_t depth = kDepth) {
-  auto out = search(variant, depth);
+Outcome check(const char* name, const Variant& variant, std::size_t max_depth = kMaxDepth) {
+  auto out = search(variant, max_depth);
   std::printf("%s: %zu states, depth %zu%s%s\n", name, out.states, out.depth,
-              out.broken.empty() ? "" : ", ", out.broken.c_str());
+              out.violation.empty() ? "" : ", ", out.violation.c_str());
   return out;
 }
 
-TEST(Model, TheLogicBreaksNoRule) {
-  const auto out = check("as it is", {});
-  EXPECT_EQ(out.broken, "");
-  EXPECT_EQ(out.depth, kDepth);
+TEST(Model, AllSafeguardsTogetherPreventViolations) {
+  const auto out = check("all safeguards", {});
+  EXPECT_EQ(out.violation, "");
+  EXPECT_EQ(out.depth, kMaxDepth);
   EXPECT_GT(out.states, 10'000u);
 }
-// Processes that are back at once, with what the run before sent still under way.
-TEST(Model, FastRestartsBreakNoRule) {
-  constexpr std::size_t kFewer = 13;  // each restart multiplies the states
-  const auto out = check("restarts", {.restarts = 2}, kFewer);
-  EXPECT_EQ(out.broken, "");
-  EXPECT_EQ(out.depth, kFewer);
+// Processes restart at once while messages of their previous incarnations are in flight.
+TEST(Model, ImmediateRestartsCauseNoViolation) {
+  constexpr std::size_t kMaxDepthWithRestarts = 13;  // each restart multiplies the states
+  const auto out = check("restarts", {.restarts = 2}, kMaxDepthWithRestarts);
+  EXPECT_EQ(out.violation, "");
+  EXPECT_EQ(out.depth, kMaxDepthWithRestarts);
   EXPECT_GT(out.states, 10'000u);
 }
-TEST(Model, FindsARunThatTakesUpTheOneBefore) {
-  EXPECT_TRUE(
-      check("no new run", {.new_run = false, .restarts = 2}).broken.starts_with("ran_twice"));
+TEST(Model, FindsRestartThatReusesThePreviousIncarnation) {
+  EXPECT_TRUE(check("no new incarnation", {.new_incarnation = false, .restarts = 2})
+                  .violation.starts_with("ran_twice"));
 }
-TEST(Model, FindsAGateLeftOutAfterARestart) {
-  EXPECT_TRUE(check("no gate after a restart", {.gate = false, .restarts = 2})
-                  .broken.starts_with("ran_twice"));
+TEST(Model, FindsMissingFailoverBarrierAfterRestart) {
+  EXPECT_TRUE(
+      check("no failover barrier after a restart", {.failover_barrier = false, .restarts = 2})
+          .violation.starts_with("ran_twice"));
 }
-// Each part left out: the checker must find what it is for.
-TEST(Model, FindsAGateLeftOut) {
+// Each of the following variants disables one safeguard; the checker must find the violation.
+TEST(Model, FindsMissingFailoverBarrier) {
   Variant v;
-  v.gate = false;
-  EXPECT_TRUE(check("no gate", v).broken.starts_with("ran_twice"));
+  v.failover_barrier = false;
+  EXPECT_TRUE(check("no failover barrier", v).violation.starts_with("ran_twice"));
 }
-TEST(Model, FindsAnswersFromMemoryByOneRuledOut) {
+TEST(Model, FindsAnswersFromMemoryOfAnEvictedController) {
   Variant v;
-  v.lease_certain = false;
-  EXPECT_TRUE(check("users answered from memory", v).broken.starts_with("went_back"));
+  v.certain_before_answer = false;
+  EXPECT_TRUE(check("uncertain controllers answer users", v).violation.starts_with("went_back"));
 }
-TEST(Model, FindsAnEndWrittenTooSoon) {
+TEST(Model, FindsJobEndWrittenWithoutHold) {
   Variant v;
-  v.hold = false;
-  EXPECT_TRUE(check("ends written at once", v).broken.starts_with("went_back"));
+  v.completion_hold = false;
+  EXPECT_TRUE(check("no completion hold", v).violation.starts_with("went_back"));
 }
-TEST(Model, FindsOrdersWithoutTheirGeneration) {
+TEST(Model, FindsCommandsWithoutTheirDecidingEpoch) {
   Variant v;
-  v.generation_on_orders = false;
-  EXPECT_TRUE(check("orders without their generation", v).broken.starts_with("ran_twice"));
+  v.deciding_epoch_on_commands = false;
+  EXPECT_TRUE(check("commands with the newest epoch", v).violation.starts_with("ran_twice"));
 }
 }  // namespace
 }  // namespace limemast::model
--- a/tests/model/task_ownership_model.cpp
+++ b/tests/model/task_ownership_model.cpp
@@ -2,150 +2,196 @@
 
 #include <algorithm>
 
-namespace limemast::model::meetings {
+namespace limemast::model::task_ownership {
 namespace {
-constexpr std::uint8_t kTtl = 2, kLease = 2, kCancel = 5;  ///< ticks; one of them is the margin
-constexpr std::uint8_t kMost = 9;
+constexpr std::uint8_t kControllerLeaseTicks = 2, kMachineLeaseTicks = 2;
+constexpr std::uint8_t kCancelTicks = 5;  ///< both leases and a margin of one tick
+constexpr std::uint8_t kMaxAge = 9;       ///< ticks
+constexpr std::uint8_t kMaxTasks = 3, kMaxRevision = 4;
 
-std::string key_of(const State& s) {
+std::string key_of(const State& state) {
   std::string key;
-  for (unsigned v :
-       {unsigned{s.committed}, unsigned{s.confirmed},  unsigned{s.runs},       unsigned{s.lease},
-        unsigned{s.renewed},   unsigned{s.shown},      unsigned{s.refused},    unsigned{s.hangs},
-        unsigned{s.cut},       unsigned{s.word},       unsigned{s.told},       unsigned{s.knows},
-        unsigned{s.reported},  unsigned{s.record},     unsigned{s.revision},   unsigned{s.done},
-        unsigned{s.cleared},   unsigned{s.seen},       unsigned{s.unknown},    unsigned{s.late[0]},
-        unsigned{s.late[1]},   unsigned{s.late_on[0]}, unsigned{s.late_on[1]}, unsigned{s.orders},
-        unsigned{s.old_runs},  unsigned{s.new_runs},   unsigned{s.shows},      unsigned{s.n_knows},
-        unsigned{s.n_holds}})
-    key.push_back(static_cast<char>(v));
+  for (unsigned value : {unsigned{state.end_committed},
+                         unsigned{state.confirmed_age},
+                         unsigned{state.task_running},
+                         unsigned{state.machine_lease_age},
+                         unsigned{state.renewal_age},
+                         unsigned{state.watch_age},
+                         unsigned{state.store_rejects_r},
+                         unsigned{state.watch_stalled},
+                         unsigned{state.links_cut},
+                         unsigned{state.notice_in_flight},
+                         unsigned{state.notice_received},
+                         unsigned{state.r_knows_end},
+                         unsigned{state.heartbeat_after_notice},
+                         unsigned{state.recorded_tasks},
+                         unsigned{state.record_revision},
+                         unsigned{state.complete_tasks},
+                         unsigned{state.cleared_tasks},
+                         unsigned{state.read_revision},
+                         unsigned{state.write_unconfirmed},
+                         unsigned{state.late_write[0]},
+                         unsigned{state.late_write[1]},
+                         unsigned{state.late_write_revision[0]},
+                         unsigned{state.late_write_revision[1]},
+                         unsigned{state.old_start_commands},
+                         unsigned{state.old_attempt_running},
+                         unsigned{state.new_attempt_running},
+                         unsigned{state.machine_saw_epoch},
+                         unsigned{state.n_knows_machine},
+                         unsigned{state.n_found_attempt}})
+    key.push_back(static_cast<char>(value));
   return key;
 }
 
 class Steps {
  public:
-  Steps(const Variant& variant, bool cancel, bool progress, bool restart)
-      : variant_(variant), cancel_(cancel), progress_(progress), restart_(restart) {}
+  Steps(const Variant& variant, bool cancellation, bool progress_writes, bool takeover)
+      : variant_(variant),
+        cancellation_(cancellation),
+        progress_writes_(progress_writes),
+        takeover_(takeover) {}
   template <class Emit>
-  void from(const State& s, const Emit& emit) const {
-    // The three do not touch each other's state: each is searched by itself.
-    if (cancel_) cancels(s, emit);
-    if (progress_) writes(s, emit);
-    if (restart_) takes_over(s, emit);
+  void from(const State& state, const Emit& emit) const {
+    // Each part is searched by itself, as the three share no state.
+    if (cancellation_) simulate_cancellation(state, emit);
+    if (progress_writes_) simulate_progress_writes(state, emit);
+    if (takeover_) simulate_takeover(state, emit);
   }
 
  private:
   template <class Change, class Emit>
-  static void step(const State& s, const Emit& emit, const char* name, Change change) {
-    auto t = s;
-    change(t);
-    emit(name, t);
+  static void step(const State& state, const Emit& emit, const char* name, Change change) {
+    auto next = state;
+    change(next);
+    emit(name, next);
   }
 
   template <class Emit>
-  void cancels(const State& s, const Emit& emit) const {
-    if (s.confirmed < kMost)
-      step(s, emit, "time passes", [](State& t) {
-        for (auto* age : {&t.lease, &t.renewed, &t.shown})
-          *age = std::min<std::uint8_t>(kMost, *age + 1);
-        if (t.confirmed > 0) ++t.confirmed;
-        if (t.lease > kLease) t.runs = false;
+  void simulate_cancellation(const State& state, const Emit& emit) const {
+    if (state.confirmed_age < kMaxAge)
+      step(state, emit, "time passes", [](State& next) {
+        for (auto* age : {&next.machine_lease_age, &next.renewal_age, &next.watch_age})
+          *age = std::min<std::uint8_t>(kMaxAge, *age + 1);
+        if (next.confirmed_age > 0) ++next.confirmed_age;
+        if (next.machine_lease_age > kMachineLeaseTicks) next.task_running = false;
       });
-    step(s, emit, "the state service refuses R, or serves it again",
-         [](State& t) { t.refused = !t.refused; });
-    step(s, emit, "R's watch hangs, or goes on", [](State& t) { t.hangs = !t.hangs; });
-    step(s, emit, "R's links are cut, or mended", [](State& t) { t.cut = !t.cut; });
-    if (!s.committed)
-      step(s, emit, "another controller commits the end and confirms it",
-           [](State& t) { t.committed = t.word = true, t.confirmed = 1; });
-    if (!s.refused) step(s, emit, "R renews", [](State& t) { t.renewed = 0; });
-    if (!s.refused && !s.hangs)
-      step(s, emit, "R's watch is answered",
-           [](State& t) { t.shown = 0, t.knows = t.knows || t.committed; });
-    // Repeated until it arrives, so that only a cut keeps it from R.
-    if (s.word && !s.cut)
-      step(s, emit, "R hears of the end", [&](State& t) {
-        t.word = false;
-        t.told = true;
-        t.knows = t.knows || variant_.acts_on_word;
+    step(state, emit, "the store starts or stops rejecting R",
+         [](State& next) { next.store_rejects_r = !next.store_rejects_r; });
+    step(state, emit, "R's watch stalls or resumes",
+         [](State& next) { next.watch_stalled = !next.watch_stalled; });
+    step(state, emit, "R's links are cut or restored",
+         [](State& next) { next.links_cut = !next.links_cut; });
+    if (!state.end_committed)
+      step(state, emit, "another controller commits the end and confirms it", [](State& next) {
+        next.end_committed = next.notice_in_flight = true, next.confirmed_age = 1;
       });
-    const auto age = variant_.bound_by_watch ? std::max(s.renewed, s.shown) : s.renewed;
-    if (age <= kTtl)
-      step(s, emit, "the machine reports to R", [](State& t) {
-        t.lease = 0;
-        if (t.knows) t.runs = false;
-        t.reported = t.told;
+    if (!state.store_rejects_r)
+      step(state, emit, "R renews its lease", [](State& next) { next.renewal_age = 0; });
+    if (!state.store_rejects_r && !state.watch_stalled)
+      step(state, emit, "R's watch is answered", [](State& next) {
+        next.watch_age = 0, next.r_knows_end = next.r_knows_end || next.end_committed;
+      });
+    // The notice is retried until it arrives, so only cut links delay it.
+    if (state.notice_in_flight && !state.links_cut)
+      step(state, emit, "R receives the notice of the end", [&](State& next) {
+        next.notice_in_flight = false;
+        next.notice_received = true;
+        next.r_knows_end = next.r_knows_end || variant_.peer_notice_ends_job;
+      });
+    const auto authority_age = variant_.authority_bound_by_watch
+                                   ? std::max(state.renewal_age, state.watch_age)
+                                   : state.renewal_age;
+    if (authority_age <= kControllerLeaseTicks)
+      step(state, emit, "the machine sends R a heartbeat", [](State& next) {
+        next.machine_lease_age = 0;
+        if (next.r_knows_end) next.task_running = false;
+        next.heartbeat_after_notice = next.notice_received;
       });
   }
 
   template <class Emit>
-  void writes(const State& s, const Emit& emit) const {
-    if (s.done < 3) step(s, emit, "a task is done", [](State& t) { ++t.done; });
-    if (!s.unknown && s.done > 0 && s.revision < 4) {
-      step(s, emit, "R records", [](State& t) { t.record = t.done, t.seen = ++t.revision; });
+  void simulate_progress_writes(const State& state, const Emit& emit) const {
+    if (state.complete_tasks < kMaxTasks)
+      step(state, emit, "a task completes", [](State& next) { ++next.complete_tasks; });
+    if (!state.write_unconfirmed && state.complete_tasks > 0 &&
+        state.record_revision < kMaxRevision) {
+      step(state, emit, "R writes its record", [](State& next) {
+        next.recorded_tasks = next.complete_tasks, next.read_revision = ++next.record_revision;
+      });
       for (std::size_t i = 0; i < 2; ++i)
-        if (s.late[i] == 0)
-          step(s, emit, "R records and gets no answer", [i](State& t) {
-            t.late[i] = static_cast<std::uint8_t>(t.done + 1);
-            t.late_on[i] = t.seen;
-            t.unknown = true;
+        if (state.late_write[i] == 0)
+          step(state, emit, "R writes its record and gets no answer", [i](State& next) {
+            next.late_write[i] = static_cast<std::uint8_t>(next.complete_tasks + 1);
+            next.late_write_revision[i] = next.read_revision;
+            next.write_unconfirmed = true;
           });
     }
-    // Without the condition nobody would have to look: a record was simply written anew.
-    if (s.unknown)
-      step(s, emit, "R reads what stands there",
-           [&](State& t) { t.unknown = false, t.seen = t.revision; });
+    if (state.write_unconfirmed)
+      step(state, emit, "R reads its record", [&](State& next) {
+        next.write_unconfirmed = false, next.read_revision = next.record_revision;
+      });
     for (std::size_t i = 0; i < 2; ++i)
-      if (s.late[i] != 0)
-        step(s, emit, "a late transaction arrives", [&](State& t) {
-          if (!variant_.own_key || t.late_on[i] == t.revision)
-            t.record = static_cast<std::uint8_t>(t.late[i] - 1), ++t.revision;
-          t.late[i] = 0;
+      if (state.late_write[i] != 0)
+        step(state, emit, "a late transaction is applied", [&](State& next) {
+          if (!variant_.write_checks_revision ||
+              next.late_write_revision[i] == next.record_revision)
+            next.recorded_tasks = static_cast<std::uint8_t>(next.late_write[i] - 1),
+            ++next.record_revision;
+          next.late_write[i] = 0;
         });
-    if (!s.unknown && s.seen == s.revision && s.cleared < s.record)
-      step(s, emit, "R clears what is recorded", [](State& t) { t.cleared = t.record; });
+    if (!state.write_unconfirmed && state.read_revision == state.record_revision &&
+        state.cleared_tasks < state.recorded_tasks)
+      step(state, emit, "R clears the recorded attempts",
+           [](State& next) { next.cleared_tasks = next.recorded_tasks; });
   }
 
   template <class Emit>
-  void takes_over(const State& s, const Emit& emit) const {
-    // An order of the old owner bears the old mandate.
-    if (s.orders > 0 && !s.shows)
-      step(s, emit, "an order of the old owner arrives",
-           [](State& t) { t.orders = 0, t.old_runs = true; });
-    step(s, emit, "the machine shows N's generation",
-         [](State& t) { t.shows = t.n_knows = true, t.n_holds = t.old_runs; });
-    // Sent before the task was started there, and before the machine had seen the new generation.
-    step(s, emit, "an old report comes to N", [&](State& t) {
-      if (!variant_.generation_seen) t.n_knows = true;
+  void simulate_takeover(const State& state, const Emit& emit) const {
+    // The command carries the old fencing token, which the machine drops once it has seen the new
+    // one.
+    if (state.old_start_commands > 0 && !state.machine_saw_epoch)
+      step(state, emit, "the old owner's start command arrives",
+           [](State& next) { next.old_start_commands = 0, next.old_attempt_running = true; });
+    step(state, emit, "the machine reports under N's epoch", [](State& next) {
+      next.machine_saw_epoch = next.n_knows_machine = true,
+      next.n_found_attempt = next.old_attempt_running;
+    });
+    // The heartbeat was sent before the old attempt started and before the machine saw the new
+    // epoch.
+    step(state, emit, "N receives an old heartbeat", [&](State& next) {
+      if (!variant_.heartbeat_must_show_epoch) next.n_knows_machine = true;
     });
-    if (s.n_knows && !s.n_holds && !s.new_runs)
-      step(s, emit, "N hands the task out elsewhere", [](State& t) { t.new_runs = true; });
+    if (state.n_knows_machine && !state.n_found_attempt && !state.new_attempt_running)
+      step(state, emit, "N starts the task elsewhere",
+           [](State& next) { next.new_attempt_running = true; });
   }
   Variant variant_;
-  bool cancel_, progress_, restart_;
+  bool cancellation_, progress_writes_, takeover_;
 };
 
-std::string rule_broken(const State& s) {
-  if (s.runs && s.confirmed > kCancel + 1) return "ran_cancelled";
-  if (s.runs && s.told && s.reported) return "kept what it was told has ended";
-  if (s.cleared > s.record) return "taken back";
-  if (s.old_runs && s.new_runs) return "ran_twice";
+std::string rule_violated(const State& state) {
+  if (state.task_running && state.confirmed_age > kCancelTicks + 1) return "ran_cancelled";
+  if (state.task_running && state.notice_received && state.heartbeat_after_notice)
+    return "ran_after_notice";
+  if (state.cleared_tasks > state.recorded_tasks) return "cleared_but_unrecorded";
+  if (state.old_attempt_running && state.new_attempt_running) return "ran_twice";
   return {};
 }
 }  // namespace
 
-Outcome search(const Variant& variant, std::size_t depth) {
+Outcome search(const Variant& variant, std::size_t max_depth) {
   Outcome all;
-  for (int part = 0; part < 3 && all.broken.empty(); ++part) {
+  for (int part = 0; part < 3 && all.violation.empty(); ++part) {
     Outcome out;
     const Steps steps(variant, part == 0, part == 1, part == 2);
     explore(
-        State{}, depth, key_of, [&](const State& s, const auto& emit) { steps.from(s, emit); },
-        rule_broken, out);
-    all.broken = out.broken;
+        State{}, max_depth, key_of,
+        [&](const State& state, const auto& emit) { steps.from(state, emit); }, rule_violated, out);
+    all.violation = out.violation;
     all.states += out.states;
     all.depth = std::max(all.depth, out.depth);
   }
   return all;
 }
-}  // namespace limemast::model::meetings
+}  // namespace limemast::model::task_ownership
--- a/tests/model/task_ownership_model.hpp
+++ b/tests/model/task_ownership_model.hpp
@@ -4,52 +4,57 @@
 
 #include "model/explore.hpp"
 
-namespace limemast::model::meetings {
-/// A model of what meets in the operators' letter about troubles, apart from grants and verdicts
-/// (model.hpp): a controller R that the state service may refuse, whose watch may hang and whose
-/// links may be cut, and the machine whose lease it keeps; another controller that confirms the end
-/// of a job there; R's record of progress with transactions that are carried out late; and a
-/// controller N that has just started, to which an old report may come. Time is counted in ticks;
-/// ttl, lease and cancel_s stand to each other as in the real thing.
+namespace limemast::model::task_ownership {
+/// A model of faults that meet after a job has changed hands (model.hpp covers leases and
+/// evictions). It has three independent parts:
+/// - Controller R keeps the lease of a machine. The key-value store may reject R, R's watch may
+///   stall and R's links may be cut, while another controller confirms the end of the job that
+///   runs on the machine.
+/// - R records progress by transactions that may be applied late.
+/// - Controller N has just taken over a task and may receive a heartbeat from before.
+/// Time is counted in ticks; the lease, its renewal and cancel_s have the order of the real values.
 struct State {
-  // The job of which a task runs on R's machine.
-  bool committed = false;      ///< its end stands in the state service
-  std::uint8_t confirmed = 0;  ///< ticks since a user was told so, plus one; 0: not told
-  bool runs = true;
-  std::uint8_t lease = 0;    ///< ticks since the last answered report
-  std::uint8_t renewed = 0;  ///< ticks since R's last renewal that was granted
-  std::uint8_t shown = 0;    ///< ticks since R's mirror showed all
-  bool refused = false, hangs = false, cut = false;
-  bool word = false;      ///< of the end, under way to R
-  bool told = false;      ///< R has heard it
-  bool knows = false;     ///< and acts on it
-  bool reported = false;  ///< the machine reported to R after that
-  // R's record: how many tasks it calls done, and its revision.
-  std::uint8_t record = 0, revision = 0;
-  std::uint8_t done = 0;                      ///< as R knows
-  std::uint8_t cleared = 0;                   ///< attempts that were cleared as the record had them
-  std::uint8_t seen = 0;                      ///< the revision that R last read
-  bool unknown = false;                       ///< R's last write got no answer
-  std::array<std::uint8_t, 2> late{0, 0};     ///< under way: what it writes, plus one
-  std::array<std::uint8_t, 2> late_on{0, 0};  ///< the revision that it stands on
-  // N, new owner of another task, which its old owner may have started on a machine.
-  std::uint8_t orders = 1;  ///< the old owner may still start it
-  bool old_runs = false, new_runs = false;
-  bool shows = false;    ///< the machine has shown N's generation
-  bool n_knows = false;  ///< N takes the machine for known
-  bool n_holds = false;  ///< and knows the task to be there
+  // The job that has a task on R's machine.
+  bool end_committed = false;      ///< the store holds the end of the job
+  std::uint8_t confirmed_age = 0;  ///< ticks since a user was told of the end, plus one; 0: not yet
+  bool task_running = true;
+  std::uint8_t machine_lease_age = 0;  ///< ticks since the last answered heartbeat
+  std::uint8_t renewal_age = 0;        ///< ticks since R's last granted renewal
+  std::uint8_t watch_age = 0;          ///< ticks since R's watch cache was complete
+  bool store_rejects_r = false, watch_stalled = false, links_cut = false;
+  bool notice_in_flight = false;        ///< the notice of the end has not reached R yet
+  bool notice_received = false;         ///< R has received the notice
+  bool r_knows_end = false;             ///< R treats the job as ended
+  bool heartbeat_after_notice = false;  ///< the machine reported to R after the notice
+  // R's progress record.
+  std::uint8_t recorded_tasks = 0;   ///< complete tasks according to the record
+  std::uint8_t record_revision = 0;  ///< revision of the record's key
+  std::uint8_t complete_tasks = 0;   ///< complete tasks that R knows of
+  std::uint8_t cleared_tasks = 0;    ///< tasks whose attempts were cleared after being recorded
+  std::uint8_t read_revision = 0;    ///< the revision that R read last
+  bool write_unconfirmed = false;    ///< R's last write was not answered
+  std::array<std::uint8_t, 2> late_write{0, 0};           ///< in flight: recorded tasks plus one
+  std::array<std::uint8_t, 2> late_write_revision{0, 0};  ///< the revision that it requires
+  // A task that N took over and that its old owner may have started on a machine.
+  std::uint8_t old_start_commands = 1;  ///< in flight from the old owner
+  bool old_attempt_running = false, new_attempt_running = false;
+  bool machine_saw_epoch = false;  ///< the machine has reported under N's epoch
+  bool n_knows_machine = false;    ///< N considers the machine's tasks known
+  bool n_found_attempt = false;    ///< N knows that the machine runs the task
 
   bool operator==(const State&) const = default;
 };
 
-/// Parts of the real logic that may be left out, to see that the checker finds what each is for.
+/// Each flag disables one safeguard of the real logic, so that tests can verify that the checker
+/// finds the violation which the safeguard prevents.
 struct Variant {
-  bool own_key = true;  ///< a write stands on the revision of the key that it writes
-  bool generation_seen =
-      true;  ///< a report proves something to a new owner only if it shows the new generation
-  bool acts_on_word = true;  ///< an end told by a peer counts, also for a host that is refused
-  bool bound_by_watch =
-      true;  ///< entitlement counts from the mirror's freshness as well as from renewals
+  bool write_checks_revision = true;  ///< a write requires the last read revision of its own key
+  bool heartbeat_must_show_epoch =
+      true;  ///< a new owner relies on a heartbeat only if it shows the new epoch
+  bool peer_notice_ends_job =
+      true;  ///< a peer's notice ends a job, also while the store rejects the receiver
+  bool authority_bound_by_watch =
+      true;  ///< authority expires with the watch cache's freshness as well as with the lease
 };
-Outcome search(const Variant& variant, std::size_t depth);
-}  // namespace limemast::model::meetings
+Outcome search(const Variant& variant, std::size_t max_depth);
+}  // namespace limemast::model::task_ownership
--- a/tests/model/task_ownership_model_test.cpp
+++ b/tests/model/task_ownership_model_test.cpp
@@ -4,37 +4,38 @@
 
 #include <gtest/gtest.h>
 
-namespace limemast::model::meetings {
+namespace limemast::model::task_ownership {
 namespace {
-constexpr std::size_t kDepth = 24;
+constexpr std::size_t kMaxDepth = 24;
 
 Outcome check(const char* name, const Variant& variant) {
-  auto out = search(variant, kDepth);
+  auto out = search(variant, kMaxDepth);
   std::printf("%s: %zu states, depth %zu%s%s\n", name, out.states, out.depth,
-              out.broken.empty() ? "" : ", ", out.broken.c_str());
+              out.violation.empty() ? "" : ", ", out.violation.c_str());
   return out;
 }
 
-TEST(MeetingsModel, TheLogicBreaksNoRule) {
-  const auto out = check("as it is", {});
-  EXPECT_EQ(out.broken, "");
+TEST(TaskOwnershipModel, AllSafeguardsTogetherPreventViolations) {
+  const auto out = check("all safeguards", {});
+  EXPECT_EQ(out.violation, "");
   EXPECT_GT(out.states, 1'000u);
 }
-// Each part left out: the checker must find what it is for.
-TEST(MeetingsModel, FindsALateWriteWithoutItsOwnKey) {
-  EXPECT_TRUE(check("no own key", {.own_key = false}).broken.starts_with("taken back"));
+// Each of the following variants disables one safeguard; the checker must find the violation.
+TEST(TaskOwnershipModel, FindsLateWriteWithoutRevisionCheck) {
+  EXPECT_TRUE(check("no revision check", {.write_checks_revision = false})
+                  .violation.starts_with("cleared_but_unrecorded"));
 }
-TEST(MeetingsModel, FindsAnOldReportThatANewControllerBelieves) {
-  EXPECT_TRUE(
-      check("old report believed", {.generation_seen = false}).broken.starts_with("ran_twice"));
+TEST(TaskOwnershipModel, FindsOldHeartbeatTrustedByNewOwner) {
+  EXPECT_TRUE(check("old heartbeat trusted", {.heartbeat_must_show_epoch = false})
+                  .violation.starts_with("ran_twice"));
 }
-TEST(MeetingsModel, FindsAnEndIgnoredByARefusedHost) {
-  EXPECT_TRUE(check("word ignored", {.acts_on_word = false})
-                  .broken.starts_with("kept what it was told has ended"));
+TEST(TaskOwnershipModel, FindsPeerNoticeIgnoredWhileStoreRejectsReceiver) {
+  EXPECT_TRUE(check("peer notice ignored", {.peer_notice_ends_job = false})
+                  .violation.starts_with("ran_after_notice"));
 }
-TEST(MeetingsModel, FindsRenewalsThatProlongWhatTheWatchDoesNotShow) {
-  EXPECT_TRUE(
-      check("renewals alone", {.bound_by_watch = false}).broken.starts_with("ran_cancelled"));
+TEST(TaskOwnershipModel, FindsRenewalsThatExtendAuthorityDespiteStalledWatch) {
+  EXPECT_TRUE(check("authority bound by renewals alone", {.authority_bound_by_watch = false})
+                  .violation.starts_with("ran_cancelled"));
 }
 }  // namespace
-}  // namespace limemast::model::meetings
+}  // namespace limemast::model::task_ownership
