--- a/bench/golden/record_golden.cpp
+++ b/bench/golden/record_golden.cpp
@@ -1,5 +1,7 @@
-// Writes the golden files of tests/compat from what the simulated cluster and the program say now:
-// record_golden DIRECTORY BINARY. To be run again only when a form is meant to change.
+// Writes the golden files of tests/compat from the current output of the simulated cluster and the
+// program. It must be run again only if a wire format, stored format or command line changes on
+// purpose.
+//   record_golden DIRECTORY BINARY
 #include <algorithm>
 #include <iostream>
 #include <sstream>
@@ -15,39 +17,45 @@
 using namespace limemast::compat;
 using std::chrono_literals::operator""s;
 
-constexpr std::size_t kExamples = 3;  ///< of each kind, each with other fields
-constexpr std::size_t kLongExample =
-    2500;  ///< bytes; longer ones are taken only for want of others
-constexpr auto kStoreDay = 75s;
+constexpr std::size_t kMaxExamplesPerKind = 3;  ///< each with a different layout
+constexpr std::size_t kMaxInputsPerPath = 12;   ///< each with a different layout
+/// An example that is longer than this is kept only if it is the first of its kind.
+constexpr std::size_t kLongExampleBytes = 2500;
+constexpr std::uint64_t kRareKindCount = 8;  ///< kinds seen less often are reported
+constexpr int kFirstNonSuccessStatus = 300;
+constexpr auto kStoreDayLength = 75s;
 
-/// Types and names alone: two examples with the same need not both be kept.
+/// The schema of a value without its enumerated texts. Only one example of each layout is kept.
 std::string layout(const ordered_json& value) {
-  Form form;
-  form.add(value);
-  auto j = form.to_json();
-  const std::function<void(json&)> strip = [&](json& at) {
+  Schema schema;
+  schema.add(value);
+  auto schema_json = schema.to_json();
+  const std::function<void(json&)> remove_texts = [&](json& at) {
     if (at.is_object()) at.erase("texts");
     if (at.is_structured())
-      for (auto& child : at) strip(child);
+      for (auto& child : at) remove_texts(child);
   };
-  strip(j);
-  return j.dump();
+  remove_texts(schema_json);
+  return schema_json.dump();
 }
 
 class Examples {
  public:
   void add(const TrafficItem& item) {
-    auto& of_kind = all_[item.kind];
-    if (of_kind.size() >= kExamples) return;
-    const auto form = layout(item.value);
-    if (!of_kind.empty() && (item.exact.size() > kLongExample || of_kind.contains(form))) return;
-    of_kind.emplace(form, item);
+    auto& examples = all_[item.kind];
+    if (examples.size() >= kMaxExamplesPerKind) return;
+    const auto item_layout = layout(item.value);
+    if (!examples.empty() &&
+        (item.payload.size() > kLongExampleBytes || examples.contains(item_layout)))
+      return;
+    examples.emplace(item_layout, item);
   }
-  std::vector<TrafficItem> of(const std::string& prefix, bool starts) const {
+  /// The examples of all kinds that begin with `prefix` or, if `begins` is false, of all others.
+  std::vector<TrafficItem> by_prefix(const std::string& prefix, bool begins) const {
     std::vector<TrafficItem> out;
     for (const auto& [kind, items] : all_)
-      if (kind.starts_with(prefix) == starts)
-        for (const auto& [form, item] : items) out.push_back(item);
+      if (kind.starts_with(prefix) == begins)
+        for (const auto& [item_layout, item] : items) out.push_back(item);
     return out;
   }
 
@@ -56,54 +64,59 @@
 };
 
 void record_traffic(const std::filesystem::path& to) {
-  TrafficForms forms;
+  TrafficSchemas schemas;
   Examples examples;
-  std::map<std::string, std::map<std::string, std::string>> inputs;  ///< kind, form -> text
-  for (auto seed = kFirstSeed; seed <= kLastSeed; ++seed) {
+  std::map<std::string, std::map<std::string, std::string>> inputs;  ///< by path and layout
+  for (auto seed = kFirstTrafficSeed; seed <= kLastTrafficSeed; ++seed) {
     simulation::SimulatedWorld world(seed);
     TrafficClassifier classifier;
     FaultDay day(world, seed, [&](const auto& item) {
-      for (const auto& t : classifier.classify(item)) forms.add(t), examples.add(t);
-      if (!item.response || item.response->status >= 300 || item.request->method != "POST") return;
+      for (const auto& part : classifier.classify(item)) schemas.add(part), examples.add(part);
+      if (!item.response || item.response->status >= kFirstNonSuccessStatus ||
+          item.request->method != "POST")
+        return;
       const auto& path = item.request->path;
       if (path != "/hello" && path != "/submissions") return;
       const auto body = ordered_json::parse(item.request->body, nullptr, false);
-      auto& of_kind = inputs[path];
-      if (!body.is_discarded() && of_kind.size() < 12)
-        of_kind.try_emplace(layout(body), item.request->body);
+      auto& inputs_of_path = inputs[path];
+      if (!body.is_discarded() && inputs_of_path.size() < kMaxInputsPerPath)
+        inputs_of_path.try_emplace(layout(body), item.request->body);
     });
     day.run();
-    day.ask_everything();
+    day.send_all_requests();
   }
   std::vector<ordered_json> lines;
-  for (const auto& [kind, k] : forms.kinds) {
-    lines.push_back({{"kind", kind}, {"seen", k.seen}, {"form", k.form.to_json()}});
-    if (k.seen < 8) std::cerr << "seen " << k.seen << " times: " << kind << '\n';
+  for (const auto& [kind, observed] : schemas.kinds) {
+    lines.push_back({{"kind", kind}, {"seen", observed.seen}, {"form", observed.schema.to_json()}});
+    if (observed.seen < kRareKindCount)
+      std::cerr << "rare kind, seen " << observed.seen << " times: " << kind << '\n';
   }
-  write_lines(to / kFormsFile, lines);
+  write_lines(to / kSchemasFile, lines);
   lines.clear();
-  for (const auto& e : examples.of("message ", true))
-    lines.push_back(
-        {{"kind", e.kind}, {"cbor", e.exact}, {"message", ordered_json::parse(e.context)}});
+  for (const auto& example : examples.by_prefix("message ", true))
+    lines.push_back({{"kind", example.kind},
+                     {"cbor", example.payload},
+                     {"message", ordered_json::parse(example.context)}});
   write_lines(to / kMessagesFile, lines);
   lines.clear();
-  for (const auto& e : examples.of("record ", true))
-    lines.push_back({{"kind", e.kind}, {"key", e.context}, {"value", e.value}});
+  for (const auto& example : examples.by_prefix("record ", true))
+    lines.push_back({{"kind", example.kind}, {"key", example.context}, {"value", example.value}});
   write_lines(to / kRecordsFile, lines);
   lines.clear();
-  for (const auto& e : examples.of("", true))
-    if (!e.kind.starts_with("message ") && !e.kind.starts_with("record "))
-      lines.push_back({{"kind", e.kind}, {"body", e.exact}, {"context", e.context}});
+  for (const auto& example : examples.by_prefix("", true))
+    if (!example.kind.starts_with("message ") && !example.kind.starts_with("record "))
+      lines.push_back(
+          {{"kind", example.kind}, {"body", example.payload}, {"context", example.context}});
   write_lines(to / kHttpFile, lines);
   lines.clear();
   for (const auto& [kind, texts] : inputs)
-    for (const auto& [form, text] : texts) lines.push_back({{"kind", kind}, {"text", text}});
+    for (const auto& [text_layout, text] : texts) lines.push_back({{"kind", kind}, {"text", text}});
   write_lines(to / kInputsFile, lines);
 }
 
 void record_store(const std::filesystem::path& to) {
   simulation::SimulatedWorld world(kStoreSeed);
-  FaultDay day(world, kStoreSeed, nullptr, {.length = kStoreDay});
+  FaultDay day(world, kStoreSeed, nullptr, {.length = kStoreDayLength});
   day.run();
   const auto& state = day.cluster().state();
   std::vector<ordered_json> lines{{{"seed", kStoreSeed}, {"epoch", state.revision()}}};
@@ -113,18 +126,21 @@
                      {"accepted", day.cluster().accepted(spec.uid)},
                      {"final", day.cluster().told(spec.uid)},
                      {"spec", wire::to_json(spec)}});
-  for (const auto& k : state.content()) {
-    lines.push_back(
-        {{"key", k.key}, {"value", k.value}, {"stamp", k.mod_revision}, {"granted", k.granted}});
-    ++counts[prefix_of_key(k.key)];
+  for (const auto& entry : state.content()) {
+    lines.push_back({{"key", entry.key},
+                     {"value", entry.value},
+                     {"stamp", entry.mod_revision},
+                     {"granted", entry.granted}});
+    ++counts[prefix_of_key(entry.key)];
   }
   write_lines(to / kStoreFile, lines);
-  for (const auto& [prefix, n] : counts) std::cerr << "store: " << n << " of " << prefix << '\n';
+  for (const auto& [prefix, count] : counts)
+    std::cerr << "store: " << count << " records with prefix " << prefix << '\n';
 }
 
-// ---- the program ----
+// ---- command line ----
 
-const json kGoodConfig = json::parse(R"({
+const json kValidConfig = json::parse(R"({
   "label": "drover-0", "domain": "a", "serve_on": "127.0.0.1:8080", "back": "127.0.0.1:8081",
   "others": [{"label": "drover-1", "endpoint": "127.0.0.2:8081"}],
   "outside": {"cloud": "127.0.0.1:1", "state": "127.0.0.1:2"},
@@ -138,48 +154,49 @@
 
 std::vector<CommandCase> config_cases() {
   std::vector<CommandCase> out;
-  const auto with = [&](const json& config) {
+  const auto add_case = [&](const json& config) {
     out.push_back({"--config site.json --check", {{"site.json", config.dump()}}, -1, {}, {}});
   };
-  with(kGoodConfig);
-  const auto flat = kGoodConfig.flatten();
+  add_case(kValidConfig);
+  const auto flat = kValidConfig.flatten();
   for (const auto& [path, value] : flat.items()) {
     const json::json_pointer at(path);
-    auto without = kGoodConfig, other = kGoodConfig, negative = kGoodConfig;
+    auto without = kValidConfig, wrong_type = kValidConfig, negative = kValidConfig;
     without[at.parent_pointer()].is_object() ? (void)without[at.parent_pointer()].erase(at.back())
                                              : (void)without[at.parent_pointer()].clear();
-    other[at] = value.is_string() ? json(7) : json("x");
-    with(without), with(other);
-    if (value.is_number()) negative[at] = -1, with(negative);
+    wrong_type[at] = value.is_string() ? json(7) : json("x");
+    add_case(without), add_case(wrong_type);
+    if (value.is_number()) negative[at] = -1, add_case(negative);
   }
   out.push_back({"--config site.json --check", {{"site.json", "{"}}, -1, {}, {}});
   out.push_back({"--config site.json --check", {{"site.json", ""}}, -1, {}, {}});
   return out;
 }
 
-/// For each option what `settings` shows of it: one value of the wrong type and one out of range.
+/// Sets each option that `settings --explain` lists to a value of the wrong type and to values out
+/// of range.
 std::vector<CommandCase> tuning_cases(const std::string& explained) {
   std::vector<CommandCase> out;
-  const auto with = [&](const std::string& text) {
+  const auto add_case = [&](const std::string& text) {
     out.push_back({"settings --tuning own.toml", {{"own.toml", text}}, -1, {}, {}});
   };
   std::istringstream in(explained);
   std::string section;
   for (std::string line; std::getline(in, line);) {
     if (line.starts_with("[")) section = line;
-    const auto is = line.find(" = ");
-    if (line.starts_with("#") || is == std::string::npos) continue;
-    const auto name = line.substr(0, is);
-    with(section + '\n' + name + " = \"x\"\n");
-    with(section + '\n' + name + " = -1\n");
-    with(section + '\n' + name + " = 1e12\n");
+    const auto separator = line.find(" = ");
+    if (line.starts_with("#") || separator == std::string::npos) continue;
+    const auto name = line.substr(0, separator);
+    add_case(section + '\n' + name + " = \"x\"\n");
+    add_case(section + '\n' + name + " = -1\n");
+    add_case(section + '\n' + name + " = 1e12\n");
   }
-  with("[scheduling]\nno_such = 1\n");
-  with("[nowhere]\nmin_probes = 1\n");
-  with("[scheduling\n");
-  with("min_probes = 4\n");
-  with("[scheduling]\nmin_probes = 4.5\n");
-  with("[scheduling]\nshort_share = 0.25\nlast_resort = true\n[operator]\nenabled = true\n");
+  add_case("[scheduling]\nno_such = 1\n");
+  add_case("[nowhere]\nmin_probes = 1\n");
+  add_case("[scheduling\n");
+  add_case("min_probes = 4\n");
+  add_case("[scheduling]\nmin_probes = 4.5\n");
+  add_case("[scheduling]\nshort_share = 0.25\nlast_resort = true\n[operator]\nenabled = true\n");
   return out;
 }
 
@@ -231,9 +248,10 @@
   std::vector<ordered_json> lines;
   for (auto& c : cases) {
     run_command(binary, c);
-    // A log line has its time in it.
+    // A run that logs is left out, because log lines contain the time.
     if (c.code == 1 && !c.out.empty()) {
-      std::cerr << "left out: " << c.arguments << ": " << c.out;
+      std::cerr << "left out, because its output contains the time: " << c.arguments << ": "
+                << c.out;
       continue;
     }
     lines.push_back(compat::to_json(c));
--- a/tests/compat/codec_test.cpp
+++ b/tests/compat/codec_test.cpp
@@ -1,4 +1,4 @@
-// Recorded messages, records and inputs are read as before, and written again byte for byte.
+// Recorded messages, records and inputs can still be parsed and are encoded to the same bytes.
 #include <functional>
 
 #include <gtest/gtest.h>
@@ -21,15 +21,15 @@
 
 namespace limemast::compat {
 namespace {
-const std::filesystem::path kGolden = COMPAT_GOLDEN;
+const std::filesystem::path kGoldenDirectory = COMPAT_GOLDEN;
 
 std::string text(const ordered_json& line, const char* field) {
   return line.at(field).get<std::string>();
 }
-/// Values of the recorded records under one prefix, with what follows it in their keys.
+/// Recorded store records whose keys have a prefix: the rest of the key, and the value.
 std::vector<std::pair<std::string, json>> records(const std::string& prefix) {
   std::vector<std::pair<std::string, json>> out;
-  for (const auto& line : read_lines(kGolden / kRecordsFile))
+  for (const auto& line : read_lines(kGoldenDirectory / kRecordsFile))
     if (line.at("kind") == "record " + prefix)
       out.emplace_back(text(line, "key").substr(prefix.size()),
                        json::parse(line.at("value").dump()));
@@ -41,7 +41,7 @@
 std::pair<std::string, RoundTrip> round_trip() {
   return {Message::kKind, [](const json& message) { return json(message.get<Message>()); }};
 }
-/// Decodes a message into its type and encodes it again, by kind.
+/// For each kind of message, a function that decodes it into its type and encodes it again.
 const std::map<std::string, RoundTrip>& round_trips() {
   using namespace messages;
   static const std::map<std::string, RoundTrip> all{
@@ -62,9 +62,9 @@
   return all;
 }
 
-TEST(RecordedMessages, OfEachTypeAreReadAndWrittenAlike) {
+TEST(RecordedMessages, RoundTripThroughEachType) {
   std::set<std::string> seen;
-  for (const auto& line : read_lines(kGolden / kMessagesFile)) {
+  for (const auto& line : read_lines(kGoldenDirectory / kMessagesFile)) {
     auto message = json::parse(line.at("message").dump());
     const auto kind = message.at("t").get<std::string>();
     const auto found = round_trips().find(kind);
@@ -73,12 +73,12 @@
     EXPECT_EQ(found->second(message).dump(), message.dump()) << kind;
     seen.insert(kind);
   }
-  EXPECT_EQ(seen.size(), round_trips().size()) << "a type of which nothing is recorded";
+  EXPECT_EQ(seen.size(), round_trips().size()) << "a message type has no recorded message";
 }
 
-TEST(RecordedMessages, DecodeToWhatWasSentAndEncodeToTheSameBytes) {
+TEST(RecordedMessages, RoundTripThroughCbor) {
   std::size_t count = 0;
-  for (const auto& line : read_lines(kGolden / kMessagesFile)) {
+  for (const auto& line : read_lines(kGoldenDirectory / kMessagesFile)) {
     const auto bytes = from_hex(text(line, "cbor"));
     const auto message = wire::from_cbor(bytes.data(), bytes.size());
     ASSERT_TRUE(message) << line.at("kind");
@@ -89,23 +89,23 @@
   EXPECT_GT(count, 30u);
 }
 
-TEST(RecordedMessages, HeartbeatsPassedOnAreReadAndWrittenAlike) {
+TEST(RecordedMessages, ForwardedHeartbeatsRoundTrip) {
   std::size_t count = 0;
-  for (const auto& line : read_lines(kGolden / kMessagesFile)) {
+  for (const auto& line : read_lines(kGoldenDirectory / kMessagesFile)) {
     if (line.at("kind") != "message report") continue;
     const auto bytes = from_hex(text(line, "cbor"));
-    const auto passed_on = wire::from_cbor(bytes.data(), bytes.size())->at("report");
-    const auto heartbeat = wire::parse_peer_heartbeat(passed_on);
-    ASSERT_TRUE(heartbeat) << passed_on;
-    EXPECT_EQ(wire::to_peer(*heartbeat).dump(), passed_on.dump());
+    const auto forwarded = wire::from_cbor(bytes.data(), bytes.size())->at("report");
+    const auto heartbeat = wire::parse_peer_heartbeat(forwarded);
+    ASSERT_TRUE(heartbeat) << forwarded;
+    EXPECT_EQ(wire::to_peer(*heartbeat).dump(), forwarded.dump());
     ++count;
   }
   EXPECT_GT(count, 1u);
 }
 
-TEST(RecordedInputs, HeartbeatsAreReadAndWrittenAlike) {
+TEST(RecordedInputs, HeartbeatsRoundTrip) {
   std::size_t count = 0;
-  for (const auto& line : read_lines(kGolden / kInputsFile)) {
+  for (const auto& line : read_lines(kGoldenDirectory / kInputsFile)) {
     if (line.at("kind") != "/hello") continue;
     const auto heartbeat = wire::parse_heartbeat(json::parse(text(line, "text")));
     ASSERT_TRUE(heartbeat) << text(line, "text");
@@ -115,9 +115,9 @@
   EXPECT_GT(count, 3u);
 }
 
-TEST(RecordedInputs, SubmissionsAreReadAndWrittenAlike) {
+TEST(RecordedInputs, SubmissionsRoundTrip) {
   std::size_t count = 0;
-  for (const auto& line : read_lines(kGolden / kInputsFile)) {
+  for (const auto& line : read_lines(kGoldenDirectory / kInputsFile)) {
     if (line.at("kind") != "/submissions") continue;
     std::string error;
     const auto spec = wire::parse_submission(json::parse(text(line, "text")), error);
@@ -128,7 +128,7 @@
   EXPECT_GT(count, 3u);
 }
 
-TEST(RecordedInputs, EveryFieldOfASubmissionIsRead) {
+TEST(RecordedInputs, EverySubmissionFieldIsParsed) {
   const auto all = json::parse(R"({
     "uid":"wk-000412","workload":"gis-sync","owner":"red","shape":"group","rank":"urgent",
     "shards":7,"cpus":1.5,"accelerators":2.0,"ramGb":3.25,"bundle":"img-1","sizeGb":0.5,
@@ -138,32 +138,32 @@
   const auto spec = wire::parse_submission(all, error);
   ASSERT_TRUE(spec) << error;
   EXPECT_EQ(wire::to_json(*spec), all);
-  for (const char* needed : {"uid", "workload", "owner", "shape", "rank", "shards", "cpus",
-                             "accelerators", "ramGb", "bundle", "sizeGb", "samePlace", "apart",
-                             "reclaimable", "expectS", "snapshotEveryS", "snapshotCostS"}) {
+  for (const char* required : {"uid", "workload", "owner", "shape", "rank", "shards", "cpus",
+                               "accelerators", "ramGb", "bundle", "sizeGb", "samePlace", "apart",
+                               "reclaimable", "expectS", "snapshotEveryS", "snapshotCostS"}) {
     auto without = all;
-    without.erase(needed);
-    EXPECT_FALSE(wire::parse_submission(without, error)) << needed;
-    EXPECT_EQ(error, needed);
+    without.erase(required);
+    EXPECT_FALSE(wire::parse_submission(without, error)) << required;
+    EXPECT_EQ(error, required);
   }
   for (const char* optional : {"flavors", "district", "dueS"}) {
     auto without = all;
     without.erase(optional);
-    const auto read = wire::parse_submission(without, error);
-    ASSERT_TRUE(read) << optional;
-    EXPECT_EQ(wire::to_json(*read), without);
+    const auto parsed = wire::parse_submission(without, error);
+    ASSERT_TRUE(parsed) << optional;
+    EXPECT_EQ(wire::to_json(*parsed), without);
   }
   for (const char* shape : {"daemon", "batch", "group"})
     for (const char* rank : {"low", "standard", "urgent", "production"}) {
       auto other = all;
       other["shape"] = shape, other["rank"] = rank;
-      const auto read = wire::parse_submission(other, error);
-      ASSERT_TRUE(read) << shape << ' ' << rank;
-      EXPECT_EQ(wire::to_json(*read), other);
+      const auto parsed = wire::parse_submission(other, error);
+      ASSERT_TRUE(parsed) << shape << ' ' << rank;
+      EXPECT_EQ(wire::to_json(*parsed), other);
     }
 }
 
-TEST(RecordedInputs, EveryPhaseAndCauseOfATaskIsReadAndWrittenAlike) {
+TEST(RecordedInputs, EveryTaskPhaseAndCauseRoundTrips) {
   auto heartbeat = json::parse(R"({
     "host":"n-1","address":"n-1:9000","flavor":"small","district":"a","reclaimable":true,
     "tenure":2,"tick":3,"mandate":4,"warningS":5.0,"shards":[]})");
@@ -173,25 +173,25 @@
        {"done", "halted", "error", "full", "in_use", "no_such", "peers", "alone"})
     heartbeat["shards"].push_back(
         {{"shard", "wk-000001/1"}, {"tryNo", 2}, {"phase", "exited"}, {"cause", cause}});
-  heartbeat = json::parse(heartbeat.dump());  // numbers as they come over the network
-  const auto read = wire::parse_heartbeat(heartbeat);
-  ASSERT_TRUE(read);
-  EXPECT_EQ(wire::to_json(*read), heartbeat);
-  // On the way between controllers phases and causes are numbers.
-  EXPECT_EQ(wire::to_peer(*read).dump(),
+  heartbeat = json::parse(heartbeat.dump());  // gives numbers the types that parsed text has
+  const auto parsed = wire::parse_heartbeat(heartbeat);
+  ASSERT_TRUE(parsed);
+  EXPECT_EQ(wire::to_json(*parsed), heartbeat);
+  // Controllers encode phases and causes as numbers when they forward heartbeats.
+  EXPECT_EQ(wire::to_peer(*parsed).dump(),
             R"(["n-1","n-1:9000","small","a",true,2,3,4,5.0,)"
             R"("wk-000001",0,1,0,0,"wk-000001",0,1,1,0,"wk-000001",0,1,2,0,"wk-000001",0,1,3,0,)"
             R"("wk-000001",1,2,4,1,"wk-000001",1,2,4,2,"wk-000001",1,2,4,3,"wk-000001",1,2,4,4,)"
             R"("wk-000001",1,2,4,5,"wk-000001",1,2,4,6,"wk-000001",1,2,4,7,"wk-000001",1,2,4,8])");
-  for (const char* needed : {"host", "address", "flavor", "district", "reclaimable", "tenure",
-                             "tick", "mandate", "shards"}) {
+  for (const char* required : {"host", "address", "flavor", "district", "reclaimable", "tenure",
+                               "tick", "mandate", "shards"}) {
     auto without = heartbeat;
-    without.erase(needed);
-    EXPECT_FALSE(wire::parse_heartbeat(without)) << needed;
+    without.erase(required);
+    EXPECT_FALSE(wire::parse_heartbeat(without)) << required;
   }
 }
 
-TEST(RecordedInputs, CatalogAndMachineListAreRead) {
+TEST(RecordedInputs, CatalogAndMachineListAreParsed) {
   const auto types = wire::parse_catalog(json::parse(R"({"flavors":[
     {"name":"small","cpus":8,"ramGb":16,"hourly":0.4,"districts":["a"]},
     {"name":"large","cpus":16.5,"accelerators":2,"ramGb":64,"localGb":50,"fetchGbPerS":0.5,
@@ -213,15 +213,15 @@
   EXPECT_EQ(full.spot_price, 0.24);
   EXPECT_EQ(full.boot.count(), 8);
   EXPECT_EQ(full.zones, (std::vector<std::string>{"a", "b"}));
-  bool more = false;
+  bool truncated = false;
   const auto machines = wire::parse_machines(json::parse(R"({"truncated":true,"hosts":[
     {"uid":"n-1","flavor":"small","district":"a","reclaimable":false,"phase":"booting"},
     {"uid":"n-2","address":"n-2:9000","flavor":"large","district":"b","reclaimable":true,
      "phase":"running","heldS":7.5},
     {"uid":"n-3","flavor":"large","district":"b","reclaimable":true,"phase":"failed"}]})"),
-                                             more);
+                                             truncated);
   ASSERT_TRUE(machines);
-  EXPECT_TRUE(more);
+  EXPECT_TRUE(truncated);
   ASSERT_EQ(machines->size(), 3u);
   EXPECT_EQ((*machines)[0].phase, wire::MachinePhase::Booting);
   EXPECT_FALSE((*machines)[0].spot);
@@ -234,83 +234,83 @@
   EXPECT_EQ((*machines)[2].phase, wire::MachinePhase::Failed);
 }
 
-/// Bodies with orders as they went to machines: answers to heartbeats, and direct commands.
-TEST(RecordedOrders, AreReadAndWrittenAlike) {
+/// Covers the commands in heartbeat responses and direct commands to machines.
+TEST(RecordedCommandsToMachines, RoundTrip) {
   std::size_t count = 0;
-  for (const auto& line : read_lines(kGolden / kHttpFile)) {
+  for (const auto& line : read_lines(kGoldenDirectory / kHttpFile)) {
     const auto body = json::parse(text(line, "body"), nullptr, false);
     if (!body.is_object() || !body.contains("orders")) continue;
-    std::vector<wire::Command> orders;
-    for (const auto& o : body.at("orders")) {
-      const auto order = wire::parse_command(o);
-      ASSERT_TRUE(order) << o;
-      EXPECT_EQ(wire::to_json(*order).dump(), o.dump());
-      orders.push_back(*order);
+    std::vector<wire::Command> commands;
+    for (const auto& encoded : body.at("orders")) {
+      const auto command = wire::parse_command(encoded);
+      ASSERT_TRUE(command) << encoded;
+      EXPECT_EQ(wire::to_json(*command).dump(), encoded.dump());
+      commands.push_back(*command);
     }
-    auto again = wire::commands_body(body.at("mandate").get<ids::FencingToken>(), orders);
-    if (body.contains("tenure")) again["tenure"] = body["tenure"];
-    EXPECT_EQ(again.dump(), text(line, "body"));
+    auto encoded_body = wire::commands_body(body.at("mandate").get<ids::FencingToken>(), commands);
+    if (body.contains("tenure")) encoded_body["tenure"] = body["tenure"];
+    EXPECT_EQ(encoded_body.dump(), text(line, "body"));
     ++count;
   }
   EXPECT_GT(count, 2u);
 }
 
-TEST(RecordedOrders, EveryVerbIsReadAndWrittenAlike) {
+TEST(RecordedCommandsToMachines, EveryVerbRoundTrips) {
   const std::string text =
       R"({"mandate":7,"orders":[{"shard":"wk-000001/0","tryNo":1,"verb":"run"},)"
       R"({"shard":"wk-000001/1","tryNo":2,"verb":"kill","windDownS":1.5},)"
       R"({"shard":"wk-000001/2","tryNo":3,"verb":"clear"}]})";
-  std::vector<wire::Command> orders;
+  std::vector<wire::Command> commands;
   const auto body = json::parse(text);
-  for (const auto& o : body.at("orders")) {
-    const auto order = wire::parse_command(o);
-    ASSERT_TRUE(order) << o;
-    orders.push_back(*order);
+  for (const auto& encoded : body.at("orders")) {
+    const auto command = wire::parse_command(encoded);
+    ASSERT_TRUE(command) << encoded;
+    commands.push_back(*command);
   }
-  EXPECT_EQ(wire::commands_body(ids::FencingToken(7), orders).dump(), text);
-  EXPECT_EQ(orders[1].grace_period.count(), 1.5);
+  EXPECT_EQ(wire::commands_body(ids::FencingToken(7), commands).dump(), text);
+  EXPECT_EQ(commands[1].grace_period.count(), 1.5);
   EXPECT_FALSE(wire::parse_command({{"shard", "wk-000001/0"}, {"tryNo", 1u}, {"verb", "go"}}));
 }
 
-TEST(RecordedRecords, OfMembershipAreRead) {
-  for (const auto& [rest, value] : records("w/generation")) {
-    const auto read = cluster::read_epoch({value, store::Revision(17)});
-    ASSERT_TRUE(read) << value;
-    EXPECT_EQ(read->number, ids::EpochNumber(17));
-    EXPECT_EQ(json({{"leader", read->leader}, {"members", read->members}}), value);
+TEST(RecordedRecords, MembershipRecordsAreParsed) {
+  for (const auto& [key_suffix, value] : records("w/generation")) {
+    const auto parsed = cluster::read_epoch({value, store::Revision(17)});
+    ASSERT_TRUE(parsed) << value;
+    EXPECT_EQ(parsed->number, ids::EpochNumber(17));
+    EXPECT_EQ(json({{"leader", parsed->leader}, {"members", parsed->members}}), value);
   }
-  for (const auto& [rest, value] : records("w/leader")) {
-    const auto read = cluster::read_leader(value);
-    ASSERT_TRUE(read) << value;
-    EXPECT_EQ(read->text(), value.at("tag"));
+  for (const auto& [key_suffix, value] : records("w/leader")) {
+    const auto parsed = cluster::read_leader(value);
+    ASSERT_TRUE(parsed) << value;
+    EXPECT_EQ(parsed->text(), value.at("tag"));
   }
-  for (const auto& [rest, value] : records("w/node/")) {
-    const auto read = cluster::read_incarnation(value);
-    ASSERT_TRUE(read) << value;
-    EXPECT_EQ(*read, value.at("incarnation"));
+  for (const auto& [key_suffix, value] : records("w/node/")) {
+    const auto parsed = cluster::read_incarnation(value);
+    ASSERT_TRUE(parsed) << value;
+    EXPECT_EQ(*parsed, value.at("incarnation"));
   }
-  for (const auto& [rest, value] : records("w/suspect/")) {
-    const auto read = cluster::read_suspicion(value);
-    ASSERT_TRUE(read) << value;
-    EXPECT_EQ(read->suspect.text(), value.at("of"));
-    EXPECT_EQ(read->suspected_by.text(), value.at("by"));
-    EXPECT_EQ(read->evicted, value.value("ruled", false));
+  for (const auto& [key_suffix, value] : records("w/suspect/")) {
+    const auto parsed = cluster::read_suspicion(value);
+    ASSERT_TRUE(parsed) << value;
+    EXPECT_EQ(parsed->suspect.text(), value.at("of"));
+    EXPECT_EQ(parsed->suspected_by.text(), value.at("by"));
+    EXPECT_EQ(parsed->evicted, value.value("ruled", false));
   }
   for (const char* prefix : {"w/generation", "w/leader", "w/node/", "w/suspect/"})
     EXPECT_FALSE(records(prefix).empty()) << prefix;
 }
 
-TEST(RecordedRecords, OfMachinesAndDrainsAreReadAndWrittenAlike) {
-  for (const auto& [rest, value] : records("w/machine/")) {
-    const auto read = cluster::read_machines(value);
-    ASSERT_TRUE(read) << value;
-    EXPECT_EQ(json(*read), value);
+TEST(RecordedRecords, MachineAndDrainRecordsRoundTrip) {
+  for (const auto& [key_suffix, value] : records("w/machine/")) {
+    const auto parsed = cluster::read_machines(value);
+    ASSERT_TRUE(parsed) << value;
+    EXPECT_EQ(json(*parsed), value);
   }
-  for (const auto& [rest, value] : records("w/drain/")) {
-    const auto read = drains::parse(rest, value);
-    ASSERT_TRUE(read) << rest << value;
-    EXPECT_EQ(drains::id_of(*read), rest);
-    EXPECT_EQ(drains::to_json(*read), value);
+  for (const auto& [key_suffix, value] : records("w/drain/")) {
+    const auto parsed = drains::parse(key_suffix, value);
+    ASSERT_TRUE(parsed) << key_suffix << value;
+    EXPECT_EQ(drains::id_of(*parsed), key_suffix);
+    EXPECT_EQ(drains::to_json(*parsed), value);
   }
   for (const char* prefix : {"w/machine/", "w/drain/", "w/open/", "final/", "progress/"})
     EXPECT_FALSE(records(prefix).empty()) << prefix;
--- a/tests/compat/fault_day.cpp
+++ b/tests/compat/fault_day.cpp
@@ -11,11 +11,11 @@
 using Side = SimulatedCluster::Side;
 constexpr std::size_t kMachinesPerPool = 3;
 constexpr double kMeanSubmissionGapS = 8;
-constexpr auto kStartUp = 10s;
-constexpr auto kCalmDown = 40s;
-constexpr auto kOrdinaryStep = 400us, kOverloadedStep = 15000us;
-constexpr auto kOverloadTime = 20s;
-constexpr std::size_t kMalformedRequests = 12, kOperatorRequests = 10;
+constexpr auto kStartupTime = 10s;
+constexpr auto kSettleTime = 40s;
+constexpr auto kNormalProcessingTime = 400us, kOverloadedProcessingTime = 15000us;
+constexpr auto kOverloadDuration = 20s;
+constexpr std::size_t kMalformedRequestKinds = 12, kOperatorRequestKinds = 10;
 const std::string kOperatorApi = "/operator/v1/";
 }  // namespace
 
@@ -47,29 +47,30 @@
                 .lambda_s = kMeanSubmissionGapS,
                 .one_plan = seed % 2 == 0,
                 .observer = std::move(observer)}) {
-  // With a processor that takes its time admission control refuses requests.
-  if (seed % 6 == 3) cluster_.processor(kOrdinaryStep);
+  // Every sixth seed is a day with overload: admission control rejects requests only if processing
+  // takes time.
+  if (seed % 6 == 3) cluster_.processor(kNormalProcessingTime);
 }
 
 void FaultDay::run() {
   const auto end = world_.now() + options_.length;
   submit_jobs();
-  cluster_.run(kStartUp);
+  cluster_.run(kStartupTime);
   while (world_.now() < end) {
-    one_step();
-    cluster_.run(std::min<net::Duration>(between(0.2, 2.5), end - world_.now()));
+    run_random_action();
+    cluster_.run(std::min<net::Duration>(random_duration(0.2, 2.5), end - world_.now()));
   }
 }
 
 void FaultDay::overload_controllers() {
-  cluster_.processor(kOverloadedStep);
-  cluster_.slow(0, 4, kOverloadTime);
+  cluster_.processor(kOverloadedProcessingTime);
+  cluster_.slow(0, 4, kOverloadDuration);
   for (int i = 0; i < 10; ++i) {
     submit_jobs();
-    query_some_job();
+    query_any_job();
     cluster_.run(2s);
   }
-  cluster_.processor(kOrdinaryStep);
+  cluster_.processor(kNormalProcessingTime);
 }
 
 void FaultDay::restart_all_controllers() {
@@ -77,53 +78,54 @@
   cluster_.run(5s);
 }
 
-void FaultDay::ask_everything() {
+void FaultDay::send_all_requests() {
   if (seed_ % 6 == 3) overload_controllers();
   if (settings_.start.ask_unheard) restart_all_controllers();
-  cluster_.run(kCalmDown);
-  for (std::size_t i = 0; i < kMalformedRequests; ++i) {
+  cluster_.run(kSettleTime);
+  for (std::size_t i = 0; i < kMalformedRequestKinds; ++i) {
     send_malformed_request(i);
     cluster_.run(500ms);
   }
-  for (std::size_t i = 0; i < kOperatorRequests; ++i) {
-    ask_operator_api(i);
+  for (std::size_t i = 0; i < kOperatorRequestKinds; ++i) {
+    query_operator_api(i);
     cluster_.run(3s);
   }
-  for (const auto& id : {"machine/" + some_machine(), "zone/" + settings_.zones[0]})
+  for (const auto& id : {"machine/" + any_machine(), "zone/" + settings_.zones[0]})
     for (const char* method : {"PUT", "PUT", "DELETE", "DELETE"}) {
-      ask(method, kOperatorApi + "drains/" + id, method[0] == 'P' ? R"({"note":"test"})" : "");
+      send_request(method, kOperatorApi + "drains/" + id,
+                   method[0] == 'P' ? R"({"note":"test"})" : "");
       cluster_.run(1500ms);
     }
-  cluster_.query_status(some_job(), any_controller());
+  cluster_.query_status(any_job(), any_controller());
   cluster_.run(3s);
 }
 
-void FaultDay::one_step() {
+void FaultDay::run_random_action() {
   const auto draw = world_.below(100);
   if (draw < 22) return submit_jobs();
-  if (draw < 32) return cancel_some_job();
-  if (draw < 40) return query_some_job();
-  if (draw < 44) return send_malformed_request(world_.below(kMalformedRequests));
+  if (draw < 32) return cancel_any_job();
+  if (draw < 40) return query_any_job();
+  if (draw < 44) return send_malformed_request(world_.below(kMalformedRequestKinds));
   if (draw < 62) {
-    ask("GET", "/ready");
-    return ask_operator_api(world_.below(kOperatorRequests));
+    send_request("GET", "/ready");
+    return query_operator_api(world_.below(kOperatorRequestKinds));
   }
   if (draw < 72) return change_drain();
   if (options_.faults) inject_fault();
 }
 
 std::size_t FaultDay::any_controller() { return world_.below(settings_.size); }
-net::Duration FaultDay::between(double least_s, double most_s) {
-  return seconds(world_.uniform(least_s, most_s));
+net::Duration FaultDay::random_duration(double min_s, double max_s) {
+  return seconds(world_.uniform(min_s, max_s));
 }
 
-// ---- users ----
+// ---- user requests ----
 
 wire::JobSpec FaultDay::draw_job() {
   auto spec = cluster_.random_job();
-  const auto form = world_.below(4);
-  spec.service = form == 0;
-  spec.gang = form == 1;
+  const auto shape = world_.below(4);
+  spec.service = shape == 0;
+  spec.gang = shape == 1;
   if (spec.service) spec.estimate = wire::Seconds(0);
   if (spec.service || spec.gang) spec.tasks = 1 + static_cast<std::uint32_t>(world_.below(4));
   if (spec.gang) {
@@ -142,126 +144,127 @@
 }
 
 void FaultDay::submit_jobs() {
-  for (auto left = 1 + world_.below(4); left > 0; --left) {
+  for (auto remaining = 1 + world_.below(4); remaining > 0; --remaining) {
     submitted_.push_back(draw_job());
     cluster_.submit(submitted_.back(), chance(0.2));
   }
 }
 
-std::string FaultDay::some_job() { return submitted_[world_.below(submitted_.size())].uid; }
+std::string FaultDay::any_job() { return submitted_[world_.below(submitted_.size())].uid; }
 
-void FaultDay::cancel_some_job() {
-  for (int i = 0; i < 2; ++i) cluster_.cancel(some_job());
+void FaultDay::cancel_any_job() {
+  for (int i = 0; i < 2; ++i) cluster_.cancel(any_job());
 }
 
-void FaultDay::query_some_job() {
-  const auto uid = some_job();
+void FaultDay::query_any_job() {
+  const auto uid = any_job();
   for (std::size_t i = 0; i < settings_.size; ++i) cluster_.query_status(uid, i);
   if (chance(0.5)) cluster_.resubmit(uid, any_controller());
 }
 
-void FaultDay::send_malformed_request(std::size_t which) {
+void FaultDay::send_malformed_request(std::size_t kind) {
   auto body = wire::to_json(submitted_.front());
-  switch (which) {
+  switch (kind) {
     case 0:
-      return ask("POST", "/submissions", "not JSON");
+      return send_request("POST", "/submissions", "not JSON");
     case 1:
       body.erase("rank");
-      return ask("POST", "/submissions", body.dump());
+      return send_request("POST", "/submissions", body.dump());
     case 2:
       body["cpus"] = "many";
-      return ask("POST", "/submissions", body.dump());
-    case 3:  // the same job with another size
+      return send_request("POST", "/submissions", body.dump());
+    case 3:  // resubmits a job with another size
       body["cpus"] = 1.25;
-      return ask("POST", "/submissions", body.dump());
-    case 4:  // never runnable
+      return send_request("POST", "/submissions", body.dump());
+    case 4:  // can never run
       body["uid"] = "wk-77" + submitted_.front().uid.substr(5);
       body["cpus"] = 4000;
-      return ask("POST", "/submissions", body.dump());
+      return send_request("POST", "/submissions", body.dump());
     case 5:
       body["uid"] = "wk-78" + submitted_.front().uid.substr(5);
       body["owner"] = "nobody";
-      return ask("POST", "/submissions", body.dump());
+      return send_request("POST", "/submissions", body.dump());
     case 6:
-      return ask("GET", "/submissions");
+      return send_request("GET", "/submissions");
     case 7:
-      return ask("POST", "/submissions/" + some_job());
+      return send_request("POST", "/submissions/" + any_job());
     case 8:
-      return ask("GET", "/submissions/" + some_job() + "/abort");
+      return send_request("GET", "/submissions/" + any_job() + "/abort");
     case 9:
-      return ask("POST", "/hello", R"({"host":"n-1"})");
+      return send_request("POST", "/hello", R"({"host":"n-1"})");
     case 10:
-      return ask("GET", "/nowhere");
+      return send_request("GET", "/nowhere");
     default:
-      ask("POST", "/submissions/wk-999999/abort");
-      ask("POST", "/submissions/nonsense/abort");
-      ask("GET", "/submissions/nonsense");
-      ask("GET", "/hello");
-      return ask("POST", "/ready");
+      send_request("POST", "/submissions/wk-999999/abort");
+      send_request("POST", "/submissions/nonsense/abort");
+      send_request("GET", "/submissions/nonsense");
+      send_request("GET", "/hello");
+      return send_request("POST", "/ready");
   }
 }
 
-// ---- operators ----
+// ---- operator requests ----
 
-void FaultDay::ask(const std::string& method, const std::string& path, const std::string& body) {
+void FaultDay::send_request(const std::string& method, const std::string& path,
+                            const std::string& body) {
   cluster_.ask(any_controller(), {method, path, body}, [](const net::HttpResponse&) {});
 }
 
-std::string FaultDay::some_machine() {
+std::string FaultDay::any_machine() {
   const auto all = cluster_.all_machines();
   if (all.empty()) return "n-000001";
   return *std::next(all.begin(), static_cast<std::ptrdiff_t>(world_.below(all.size())));
 }
 
-void FaultDay::ask_operator_api(std::size_t which) {
-  switch (which) {
+void FaultDay::query_operator_api(std::size_t kind) {
+  switch (kind) {
     case 0:
-      ask("GET", kOperatorApi + "jobs?limit=3");
-      return ask("GET", kOperatorApi + "jobs?from=" + some_job());
+      send_request("GET", kOperatorApi + "jobs?limit=3");
+      return send_request("GET", kOperatorApi + "jobs?from=" + any_job());
     case 1:
-      return ask("GET", kOperatorApi + "jobs/" + some_job());
+      return send_request("GET", kOperatorApi + "jobs/" + any_job());
     case 2:
-      ask("GET", kOperatorApi + "machines?limit=4");
-      return ask("GET", kOperatorApi + "machines?from=" + some_machine());
+      send_request("GET", kOperatorApi + "machines?limit=4");
+      return send_request("GET", kOperatorApi + "machines?from=" + any_machine());
     case 3:
-      return ask("GET", kOperatorApi + "teams");
+      return send_request("GET", kOperatorApi + "teams");
     case 4:
-      return ask("GET", kOperatorApi + "controllers");
+      return send_request("GET", kOperatorApi + "controllers");
     case 5:
-      return ask("GET", kOperatorApi + "history");
+      return send_request("GET", kOperatorApi + "history");
     case 6:
-      return ask("GET", kOperatorApi + "metrics");
+      return send_request("GET", kOperatorApi + "metrics");
     case 7:
-      ask("GET", kOperatorApi + "jobs?limit=0");
-      ask("GET", kOperatorApi + "machines?limit=x");
-      return ask("POST", kOperatorApi + "jobs");
+      send_request("GET", kOperatorApi + "jobs?limit=0");
+      send_request("GET", kOperatorApi + "machines?limit=x");
+      return send_request("POST", kOperatorApi + "jobs");
     case 8:
-      ask("GET", kOperatorApi + "nowhere");
-      return ask("GET", kOperatorApi + "jobs/wk-999999");
+      send_request("GET", kOperatorApi + "nowhere");
+      return send_request("GET", kOperatorApi + "jobs/wk-999999");
     default:
-      ask("GET", kOperatorApi + "drains");
-      ask("GET", kOperatorApi + "machines");
-      return ask("GET", kOperatorApi + "jobs");
+      send_request("GET", kOperatorApi + "drains");
+      send_request("GET", kOperatorApi + "machines");
+      return send_request("GET", kOperatorApi + "jobs");
   }
 }
 
 void FaultDay::change_drain() {
   const auto draw = world_.below(8);
   if (draw == 0) {
-    ask("PUT", kOperatorApi + "drains/machine/no-such-machine", "{}");
-    ask("PUT", kOperatorApi + "drains/rack/r1", "{}");
-    ask("PUT", kOperatorApi + "drains/zone/" + settings_.zones[0], R"({"note":7})");
-    return ask("GET", kOperatorApi + "drains/zone/a");
+    send_request("PUT", kOperatorApi + "drains/machine/no-such-machine", "{}");
+    send_request("PUT", kOperatorApi + "drains/rack/r1", "{}");
+    send_request("PUT", kOperatorApi + "drains/zone/" + settings_.zones[0], R"({"note":7})");
+    return send_request("GET", kOperatorApi + "drains/zone/a");
   }
   if (draw < 4 && !drained_.empty()) {
-    ask("DELETE", kOperatorApi + "drains/" + drained_.back());
+    send_request("DELETE", kOperatorApi + "drains/" + drained_.back());
     return drained_.pop_back();
   }
   drained_.push_back(chance(0.3) ? "zone/" + settings_.zones[world_.below(3)]
-                                 : "machine/" + some_machine());
-  ask("PUT", kOperatorApi + "drains/" + drained_.back(),
-      chance(0.5) ? json{{"note", "maintenance"}, {"giveBack", chance(0.5)}}.dump() : "");
-  world_.at(between(1, 6), [this] { ask("GET", kOperatorApi + "drains"); });
+                                 : "machine/" + any_machine());
+  send_request("PUT", kOperatorApi + "drains/" + drained_.back(),
+               chance(0.5) ? json{{"note", "maintenance"}, {"giveBack", chance(0.5)}}.dump() : "");
+  world_.at(random_duration(1, 6), [this] { send_request("GET", kOperatorApi + "drains"); });
 }
 
 // ---- faults ----
@@ -278,71 +281,71 @@
 }
 
 void FaultDay::inject_store_fault() {
-  const auto time = between(2, 20);
+  const auto duration = random_duration(2, 20);
   switch (world_.below(9)) {
     case 0:
-      return cluster_.state_outage(between(1, 12));
+      return cluster_.state_outage(random_duration(1, 12));
     case 1:
-      return cluster_.state_slow(between(0.3, 3), time);
+      return cluster_.state_slow(random_duration(0.3, 3), duration);
     case 2:
-      return cluster_.delay_transactions(0.3, time);
+      return cluster_.delay_transactions(0.3, duration);
     case 3:
-      return cluster_.delay_transactions(0.3, time, true);
+      return cluster_.delay_transactions(0.3, duration, true);
     case 4:
-      return cluster_.reject_at_store(any_controller(), time);
+      return cluster_.reject_at_store(any_controller(), duration);
     case 5:
-      return cluster_.stall_watches(any_controller(), time);
+      return cluster_.stall_watches(any_controller(), duration);
     case 6:
-      return cluster_.cut(any_controller(), Side::State, chance(0.5), time);
+      return cluster_.cut(any_controller(), Side::State, chance(0.5), duration);
     case 7:
-      return cluster_.cloud_outage(time);
+      return cluster_.cloud_outage(duration);
     default:
-      return cluster_.cut(any_controller(), Side::Cloud, chance(0.5), time);
+      return cluster_.cut(any_controller(), Side::Cloud, chance(0.5), duration);
   }
 }
 
 void FaultDay::inject_controller_fault() {
   const auto node = chance(0.5) ? cluster_.leader() : any_controller();
-  const auto time = between(2, 20);
+  const auto duration = random_duration(2, 20);
   switch (world_.below(10)) {
     case 0:
-      return cluster_.crash(node, between(0.02, 10));
+      return cluster_.crash(node, random_duration(0.02, 10));
     case 1:
-      for (std::size_t i = 0; i < settings_.size; ++i) cluster_.crash(i, between(0.02, 5));
+      for (std::size_t i = 0; i < settings_.size; ++i) cluster_.crash(i, random_duration(0.02, 5));
       return;
     case 2:
-      return cluster_.freeze(node, time);
+      return cluster_.freeze(node, duration);
     case 3:
-      return cluster_.deafen(node, time);
+      return cluster_.deafen(node, duration);
     case 4:
-      return cluster_.cut(node, Side::Peers, chance(0.5), time);
+      return cluster_.cut(node, Side::Peers, chance(0.5), duration);
     case 5:
-      return cluster_.cut(node, Side::Workers, chance(0.5), time);
+      return cluster_.cut(node, Side::Workers, chance(0.5), duration);
     case 6:
-      for (auto side : {Side::State, Side::Peers}) cluster_.cut(node, side, false, time);
+      for (auto side : {Side::State, Side::Peers}) cluster_.cut(node, side, false, duration);
       return;
     case 7:
-      return cluster_.delay_sent(node, between(0.2, 1.5), time);
+      return cluster_.delay_sent(node, random_duration(0.2, 1.5), duration);
     case 8:
-      return cluster_.cut_zone(settings_.zones[world_.below(settings_.zones.size())], time);
+      return cluster_.cut_zone(settings_.zones[world_.below(settings_.zones.size())], duration);
     default:
-      cluster_.query_concurrently(between(5, 20), 0.2);
-      return cluster_.slow(node, 40, time);
+      cluster_.query_concurrently(random_duration(5, 20), 0.2);
+      return cluster_.slow(node, 40, duration);
   }
 }
 
 void FaultDay::inject_machine_fault() {
-  const auto time = between(2, 25);
-  const auto some = [this](const std::string&, const std::string&) { return chance(0.25); };
+  const auto duration = random_duration(2, 25);
+  const auto one_in_four = [this](const std::string&, const std::string&) { return chance(0.25); };
   switch (world_.below(11)) {
     case 0:
-      return cluster_.block_inbound_to_machines(some, time);
+      return cluster_.block_inbound_to_machines(one_in_four, duration);
     case 1:
-      return cluster_.block_heartbeats(some, time);
+      return cluster_.block_heartbeats(one_in_four, duration);
     case 2:
-      return cluster_.hang(time);
+      return cluster_.hang(duration);
     case 3:
-      return cluster_.hang_machines(cluster_.machines_with(some_job()), time);
+      return cluster_.hang_machines(cluster_.machines_with(any_job()), duration);
     case 4:
       return cluster_.kill_machines(1 + world_.below(3));
     case 5:
@@ -350,14 +353,14 @@
     case 6:
       return cluster_.reclaim_machine(false);
     case 7:
-      return cluster_.make_machine_faulty(time);
+      return cluster_.make_machine_faulty(duration);
     case 8:
-      return cluster_.duplicate_heartbeats_late(0.3, time);
+      return cluster_.duplicate_heartbeats_late(0.3, duration);
     case 9:
-      return cluster_.replay_heartbeats_at_next_leader(0.5, between(10, 40));
+      return cluster_.replay_heartbeats_at_next_leader(0.5, random_duration(10, 40));
     default:
-      cluster_.cancel_at_end(0.4, time);
-      return cluster_.drop_direct_commands(time);
+      cluster_.cancel_at_end(0.4, duration);
+      return cluster_.drop_direct_commands(duration);
   }
 }
 }  // namespace limemast::compat
--- a/tests/compat/golden.cpp
+++ b/tests/compat/golden.cpp
@@ -52,18 +52,19 @@
 }
 
 void run_command(const std::string& binary, CommandCase& c) {
-  char name[] = "/tmp/limemast-compat-XXXXXX";
-  if (!mkdtemp(name)) throw std::runtime_error("cannot make a directory");
-  const std::filesystem::path folder(name);
-  for (const auto& [file, content] : c.files) std::ofstream(folder / file) << content;
-  // Called by its bare name, as users do: help and errors show that name.
-  const auto place = std::filesystem::path(binary).parent_path().string();
-  const auto line = "cd " + folder.string() + " && unset LIMEMAST_TUNING && PATH=" + place +
-                    ":$PATH limemast " + c.arguments + " >.out 2>.error </dev/null";
-  const int status = std::system(line.c_str());
+  char path[] = "/tmp/limemast-compat-XXXXXX";
+  if (!mkdtemp(path)) throw std::runtime_error("cannot create a temporary directory");
+  const std::filesystem::path directory(path);
+  for (const auto& [file, content] : c.files) std::ofstream(directory / file) << content;
+  // The program is called by its bare name, as users do, because help and errors show that name.
+  const auto binary_directory = std::filesystem::path(binary).parent_path().string();
+  const auto command = "cd " + directory.string() +
+                       " && unset LIMEMAST_TUNING && PATH=" + binary_directory +
+                       ":$PATH limemast " + c.arguments + " >.out 2>.error </dev/null";
+  const int status = std::system(command.c_str());
   c.code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
-  c.out = content_of(folder / ".out");
-  c.error = content_of(folder / ".error");
-  std::filesystem::remove_all(folder);
+  c.out = content_of(directory / ".out");
+  c.error = content_of(directory / ".error");
+  std::filesystem::remove_all(directory);
 }
 }  // namespace limemast::compat
--- a/tests/compat/outgoing_log.cpp
+++ b/tests/compat/outgoing_log.cpp
@@ -7,12 +7,12 @@
 namespace limemast::compat {
 namespace {
 using simulation::SimulatedCluster;
-constexpr std::uint64_t kPrime = 1099511628211ull;
+constexpr std::uint64_t kFnvPrime = 1099511628211ull;
 
-std::string head_of(const net::HttpRequest& r) { return r.method + ' ' + r.path; }
+std::string describe_head(const net::HttpRequest& r) { return r.method + ' ' + r.path; }
 
-/// Everything of a response but its body.
-std::string head_of(const net::HttpResponse& r) {
+/// Formats a response without its body.
+std::string describe_head(const net::HttpResponse& r) {
   return std::to_string(r.status) + " type=" + r.type + " allow=" + r.allow +
          " retry=" + std::to_string(r.retry_after_s) +
          " seat=" + std::to_string(static_cast<int>(r.connection_class));
@@ -27,7 +27,7 @@
 
 void Fnv1a::add(const void* data, std::size_t size) {
   const auto* bytes = static_cast<const unsigned char*>(data);
-  for (std::size_t i = 0; i < size; ++i) value_ = (value_ ^ bytes[i]) * kPrime;
+  for (std::size_t i = 0; i < size; ++i) value_ = (value_ ^ bytes[i]) * kFnvPrime;
 }
 
 void OutgoingLog::add(const SimulatedCluster::Outgoing& item) {
@@ -39,15 +39,15 @@
     hash_.add(line);
     hash_.add(bytes.data(), bytes.size());
     if (!trace_) return;
-    Fnv1a of_bytes;
-    of_bytes.add(bytes.data(), bytes.size());
+    Fnv1a message_hash;
+    message_hash.add(bytes.data(), bytes.size());
     *trace_ << line << "message " << item.message->dump() << " cbor=" << std::hex
-            << of_bytes.value() << std::dec << '\n';
+            << message_hash.value() << std::dec << '\n';
     return;
   }
-  line += head_of(*item.request);
+  line += describe_head(*item.request);
   if (item.response)
-    line += " : " + head_of(*item.response) + ' ' + item.response->body;
+    line += " : " + describe_head(*item.response) + ' ' + item.response->body;
   else
     line += ' ' + item.request->body;
   hash_.add(line);
--- a/tests/compat/outgoing_log.hpp
+++ b/tests/compat/outgoing_log.hpp
@@ -6,7 +6,7 @@
 #include "simulation/simulated_cluster.hpp"
 
 namespace limemast::compat {
-/// FNV-1a, 64 bits.
+/// The 64-bit FNV-1a hash.
 class Fnv1a {
  public:
   void add(const void* data, std::size_t size);
@@ -14,11 +14,12 @@
   std::uint64_t value() const { return value_; }
 
  private:
-  std::uint64_t value_ = 14695981039346656037ull;
+  static constexpr std::uint64_t kOffsetBasis = 14695981039346656037ull;
+  std::uint64_t value_ = kOffsetBasis;
 };
 
-/// Takes in everything that leaves controllers: one running hash over time, controller, receiver
-/// and bytes of each item and, if asked for, one line of text an item.
+/// Hashes everything that controllers send: time, sender, receiver and bytes of each item. Writes
+/// one line of text per item to the trace, if there is one.
 class OutgoingLog {
  public:
   /// `trace` may be null and must outlive the log.
--- a/tests/compat/form.cpp
+++ b/tests/compat/schema.cpp
@@ -1,13 +1,14 @@
-#include "compat/form.hpp"
+#include "compat/schema.hpp"
 
 #include <algorithm>
 
 namespace limemast::compat {
 namespace {
-constexpr std::size_t kMaxConstants = 24;
-constexpr std::size_t kLeastHex = 16;
-constexpr std::size_t kMaxConstantSize = 120;
-constexpr std::size_t kLongestGroup = 6;  ///< elements that repeat within a positional array
+constexpr std::size_t kMaxEnumValues = 24;
+constexpr std::size_t kMinHexDigits = 16;
+constexpr std::size_t kMaxEnumValueBytes = 120;
+/// Most elements in a group that repeats within a positional array.
+constexpr std::size_t kMaxGroupSize = 6;
 
 std::string type_of(const ordered_json& value) {
   switch (value.type()) {
@@ -29,24 +30,25 @@
   }
 }
 
-/// Types in their order; a group that repeats is written once: "string integer (integer null)+".
+/// Lists the element types in order and a repeated group once: "string integer (integer null)+".
 std::string layout_of(const ordered_json& array) {
   std::vector<std::string> types;
   for (const auto& e : array) types.push_back(type_of(e));
   std::string out;
   const auto repeats_at = [&](std::size_t at, std::size_t size) {
-    std::size_t n = 1;
-    while (at + (n + 1) * size <= types.size() &&
+    std::size_t repeats = 1;
+    while (at + (repeats + 1) * size <= types.size() &&
            std::equal(types.begin() + static_cast<std::ptrdiff_t>(at),
                       types.begin() + static_cast<std::ptrdiff_t>(at + size),
-                      types.begin() + static_cast<std::ptrdiff_t>(at + n * size)))
-      ++n;
-    return n;
+                      types.begin() + static_cast<std::ptrdiff_t>(at + repeats * size)))
+      ++repeats;
+    return repeats;
   };
   for (std::size_t at = 0; at < types.size();) {
     std::size_t size = 1, times = 1;
-    for (std::size_t s = kLongestGroup; s > 1; --s)
-      if (const auto n = repeats_at(at, s); n > 1) size = s, times = n;
+    for (std::size_t candidate = kMaxGroupSize; candidate > 1; --candidate)
+      if (const auto repeats = repeats_at(at, candidate); repeats > 1)
+        size = candidate, times = repeats;
     out += out.empty() ? "" : " ";
     if (times > 1) out += '(';
     for (std::size_t i = 0; i < size; ++i) out += (i ? " " : "") + types[at + i];
@@ -89,23 +91,24 @@
   if (text == "red" || text == "blue" || text == "green") return "<team>";
   if (text == "a" || text == "b" || text == "c") return "<zone>";
   if (all_digits(text)) return "<number>";
-  if (text.size() >= kLeastHex && text.find_first_not_of("0123456789abcdef") == std::string::npos)
+  if (text.size() >= kMinHexDigits &&
+      text.find_first_not_of("0123456789abcdef") == std::string::npos)
     return "<hex>";
   return text;
 }
 
-void Form::add_constant(const std::string& text) {
+void Schema::add_enum_value(const std::string& text) {
   if (free_text_) return;
-  constants_.insert(text);
-  if (constants_.size() <= kMaxConstants && text.size() <= kMaxConstantSize) return;
+  enum_values_.insert(text);
+  if (enum_values_.size() <= kMaxEnumValues && text.size() <= kMaxEnumValueBytes) return;
   free_text_ = true;
-  constants_.clear();
+  enum_values_.clear();
 }
 
-void Form::add_text(const std::string& text) { add_constant(placeholder_for(text)); }
+void Schema::add_text(const std::string& text) { add_enum_value(placeholder_for(text)); }
 
-void Form::add_object(const ordered_json& object) {
-  ++objects_;
+void Schema::add_object(const ordered_json& object) {
+  ++object_count_;
   std::string last;
   for (const auto& [raw, value] : object.items()) {
     const auto name = placeholder_for(raw);
@@ -114,107 +117,110 @@
       ++field.seen;
       if (!last.empty()) {
         sorted_ = sorted_ && last < name;
-        before_.emplace(last, name);
+        adjacent_fields_.emplace(last, name);
       }
       last = name;
     }
-    field.form->add(value);
+    field.schema->add(value);
   }
 }
 
-void Form::add_array(const ordered_json& array) {
+void Schema::add_array(const ordered_json& array) {
   if (array.empty()) return;
-  if (!elements_) elements_ = std::make_shared<Form>();
+  if (!element_schema_) element_schema_ = std::make_shared<Schema>();
   const auto first = type_of(array.front());
-  const bool alike =
+  const bool same_type =
       std::all_of(array.begin(), array.end(), [&](const auto& e) { return type_of(e) == first; });
-  if (!alike) layouts_.insert(layout_of(array));
+  if (!same_type) layouts_.insert(layout_of(array));
   for (const auto& e : array)
-    if (alike || e.is_structured()) elements_->add(e);
+    if (same_type || e.is_structured()) element_schema_->add(e);
 }
 
-void Form::add(const ordered_json& value) {
+void Schema::add(const ordered_json& value) {
   types_.insert(type_of(value));
   if (value.is_string()) add_text(value.get_ref<const std::string&>());
   if (value.is_object()) add_object(value);
   if (value.is_array()) add_array(value);
 }
 
-json Form::to_json() const {
+json Schema::to_json() const {
   json out{{"types", types_}};
   if (free_text_) out["texts"] = "any";
-  if (!constants_.empty()) out["texts"] = constants_;
+  if (!enum_values_.empty()) out["texts"] = enum_values_;
   if (!layouts_.empty()) out["layouts"] = layouts_;
-  if (elements_) out["elements"] = elements_->to_json();
+  if (element_schema_) out["elements"] = element_schema_->to_json();
   if (fields_.empty()) return out;
-  for (const auto& [name, f] : fields_)
-    out["fields"][name] = {{"optional", f.optional || f.seen < objects_},
-                           {"form", f.form->to_json()}};
-  if (!sorted_) out["order"] = before_;
+  for (const auto& [name, field] : fields_)
+    out["fields"][name] = {{"optional", field.optional || field.seen < object_count_},
+                           {"form", field.schema->to_json()}};
+  if (!sorted_) out["order"] = adjacent_fields_;
   return out;
 }
 
-Form Form::from_json(const json& saved) {
-  Form out;
+Schema Schema::from_json(const json& saved) {
+  Schema out;
   out.types_ = texts(saved.at("types"));
   if (const auto it = saved.find("texts"); it != saved.end()) {
     out.free_text_ = it->is_string();
-    if (!out.free_text_) out.constants_ = texts(*it);
+    if (!out.free_text_) out.enum_values_ = texts(*it);
   }
   if (saved.contains("layouts")) out.layouts_ = texts(saved["layouts"]);
   if (saved.contains("elements"))
-    out.elements_ = std::make_shared<Form>(from_json(saved["elements"]));
+    out.element_schema_ = std::make_shared<Schema>(from_json(saved["elements"]));
   if (saved.contains("fields"))
-    for (const auto& [name, f] : saved["fields"].items()) {
+    for (const auto& [name, saved_field] : saved["fields"].items()) {
       auto& field = out.fields_[name];
-      field.optional = f.at("optional").get<bool>();
-      field.form = std::make_shared<Form>(from_json(f.at("form")));
+      field.optional = saved_field.at("optional").get<bool>();
+      field.schema = std::make_shared<Schema>(from_json(saved_field.at("form")));
     }
   out.sorted_ = !saved.contains("order");
-  if (!out.sorted_) out.before_ = saved["order"].get<decltype(out.before_)>();
+  if (!out.sorted_) out.adjacent_fields_ = saved["order"].get<decltype(out.adjacent_fields_)>();
   return out;
 }
 
-void Form::compare_fields(const Form& now, const std::string& path,
-                          std::vector<std::string>& out) const {
-  for (const auto& [name, f] : fields_) {
-    const auto it = now.fields_.find(name);
+void Schema::compare_fields(const Schema& current, const std::string& path,
+                            std::vector<std::string>& out) const {
+  for (const auto& [name, field] : fields_) {
+    const auto it = current.fields_.find(name);
     const auto at = path + "." + name;
-    if (it == now.fields_.end()) {
+    if (it == current.fields_.end()) {
       out.push_back(at + ": field is missing");
       continue;
     }
-    const bool optional = f.optional || f.seen < objects_;
-    const bool optional_now = it->second.optional || it->second.seen < now.objects_;
-    if (optional != optional_now)
-      out.push_back(at + (optional ? ": was optional, is always there" : ": may be absent now"));
-    for (auto& d : f.form->differences(*it->second.form, at)) out.push_back(std::move(d));
+    const bool optional = field.optional || field.seen < object_count_;
+    const bool currently_optional = it->second.optional || it->second.seen < current.object_count_;
+    if (optional != currently_optional)
+      out.push_back(
+          at + (optional ? ": was optional, is now required" : ": was required, is now optional"));
+    for (auto& d : field.schema->differences(*it->second.schema, at)) out.push_back(std::move(d));
   }
-  for (const auto& [name, f] : now.fields_)
+  for (const auto& [name, field] : current.fields_)
     if (!fields_.contains(name)) out.push_back(path + "." + name + ": new field");
-  if (sorted_ != now.sorted_) out.push_back(path + ": order of fields changed");
-  if (!sorted_ && !now.sorted_)
-    for (const auto& [first, second] : now.before_)
-      if (before_.contains({second, first}) && !before_.contains({first, second}))
-        out.push_back(path + ": " + first + " comes before " + second + " now");
+  if (sorted_ != current.sorted_) out.push_back(path + ": order of fields changed");
+  if (!sorted_ && !current.sorted_)
+    for (const auto& [first, second] : current.adjacent_fields_)
+      if (adjacent_fields_.contains({second, first}) && !adjacent_fields_.contains({first, second}))
+        out.push_back(path + ": " + first + " now comes before " + second);
 }
 
-std::vector<std::string> Form::differences(const Form& now, const std::string& path) const {
+std::vector<std::string> Schema::differences(const Schema& current, const std::string& path) const {
   std::vector<std::string> out;
-  if (types_ != now.types_)
-    out.push_back(path + ": types were " + joined(types_) + ", are " + joined(now.types_));
-  if (layouts_ != now.layouts_)
-    out.push_back(path + ": layouts were [" + joined(layouts_) + "], are [" + joined(now.layouts_) +
-                  "]");
-  if (!free_text_ && now.free_text_) out.push_back(path + ": takes any text now");
+  if (types_ != current.types_)
+    out.push_back(path + ": types changed from " + joined(types_) + " to " +
+                  joined(current.types_));
+  if (layouts_ != current.layouts_)
+    out.push_back(path + ": layouts changed from [" + joined(layouts_) + "] to [" +
+                  joined(current.layouts_) + "]");
+  if (!free_text_ && current.free_text_) out.push_back(path + ": enumerated text became free text");
   if (!free_text_)
-    for (const auto& c : now.constants_)
-      if (!constants_.contains(c)) out.push_back(path + ": new text '" + c + "'");
-  compare_fields(now, path, out);
-  if (!elements_ != !now.elements_)
-    out.push_back(path + (elements_ ? "[]: has no elements now" : "[]: has elements now"));
-  if (elements_ && now.elements_)
-    for (auto& d : elements_->differences(*now.elements_, path + "[]")) out.push_back(std::move(d));
+    for (const auto& c : current.enum_values_)
+      if (!enum_values_.contains(c)) out.push_back(path + ": new enumerated text '" + c + "'");
+  compare_fields(current, path, out);
+  if (!element_schema_ != !current.element_schema_)
+    out.push_back(path + (element_schema_ ? "[]: no longer has elements" : "[]: now has elements"));
+  if (element_schema_ && current.element_schema_)
+    for (auto& d : element_schema_->differences(*current.element_schema_, path + "[]"))
+      out.push_back(std::move(d));
   return out;
 }
 }  // namespace limemast::compat
--- a/tests/compat/traffic.cpp
+++ b/tests/compat/traffic.cpp
@@ -8,14 +8,14 @@
 namespace limemast::compat {
 namespace {
 using simulation::SimulatedCluster;
-const std::string kStore = "state:1";
-const std::string kCloud = "cloud:1";
-const std::string kMetricsType = "text/plain";
-constexpr int kUnavailable = 503, kTooManyRequests = 429;
-
-/// "/submissions/wk-000012/abort" -> "/submissions/<job>/abort"; of a query the fields' names, and
-/// values that are not of one moment.
-std::string path_pattern(const std::string& path) {
+const std::string kStoreEndpoint = "state:1";
+const std::string kCloudEndpoint = "cloud:1";
+const std::string kMetricsContentType = "text/plain";
+constexpr int kServiceUnavailableStatus = 503, kTooManyRequestsStatus = 429;
+
+/// Replaces the identifiers and numbers in a path and its query by placeholders:
+/// "/submissions/wk-000012/abort" becomes "/submissions/<job>/abort".
+std::string path_template(const std::string& path) {
   std::string out;
   std::string part;
   const auto flush = [&] {
@@ -41,11 +41,12 @@
 }
 
 std::string receiver_of(const std::string& to) {
-  return to == kStore ? "store" : to == kCloud ? "cloud" : "worker";
+  return to == kStoreEndpoint ? "store" : to == kCloudEndpoint ? "cloud" : "worker";
 }
 
-/// Takes what is written out of a transaction: each record has its own form.
-std::vector<TrafficItem> take_records(ordered_json& transaction) {
+/// Removes the written records from a transaction and returns them, because each kind of record has
+/// its own schema. Keys are reduced to their prefixes.
+std::vector<TrafficItem> extract_records(ordered_json& transaction) {
   std::vector<TrafficItem> out;
   for (auto& write : transaction["writes"]) {
     const auto value = write.find("v");
@@ -64,19 +65,19 @@
   return out;
 }
 
-/// "limemast_calls_total{answer="2xx"} 3": the name with its labels; of labels whose values are
-/// fixed by the program these as well.
-std::string metric_pattern(const std::string& line) {
-  static const std::set<std::string> fixed{"what", "cause"};
-  const auto open = line.find('{');
-  if (open == std::string::npos) return line.substr(0, line.find(' '));
-  auto out = line.substr(0, open + 1);
-  auto rest = line.substr(open + 1, line.find('}') - open - 1);
+/// Reduces a metrics line such as `limemast_calls_total{answer="2xx"} 3` to the metric's name and
+/// labels. The values of labels that the program enumerates are kept.
+std::string metric_template(const std::string& line) {
+  static const std::set<std::string> labels_with_fixed_values{"what", "cause"};
+  const auto labels_begin = line.find('{');
+  if (labels_begin == std::string::npos) return line.substr(0, line.find(' '));
+  auto out = line.substr(0, labels_begin + 1);
+  auto rest = line.substr(labels_begin + 1, line.find('}') - labels_begin - 1);
   while (!rest.empty()) {
-    const auto is = rest.find('=');
-    const auto end = rest.find('"', is + 2);
-    const auto name = rest.substr(0, is);
-    out += fixed.contains(name) ? rest.substr(0, end + 1) : name;
+    const auto equals = rest.find('=');
+    const auto end = rest.find('"', equals + 2);
+    const auto name = rest.substr(0, equals);
+    out += labels_with_fixed_values.contains(name) ? rest.substr(0, end + 1) : name;
     rest.erase(0, end + 1);
     if (rest.starts_with(",")) rest.erase(0, 1), out += ',';
   }
@@ -87,7 +88,7 @@
 std::string to_hex(const std::vector<std::uint8_t>& bytes) {
   static constexpr char kDigits[] = "0123456789abcdef";
   std::string out;
-  for (const auto b : bytes) out += kDigits[b >> 4], out += kDigits[b & 15];
+  for (const auto byte : bytes) out += kDigits[byte >> 4], out += kDigits[byte & 15];
   return out;
 }
 
@@ -106,14 +107,14 @@
   return key;
 }
 
-ordered_json metrics_in(const std::string& text) {
+ordered_json parse_metrics(const std::string& text) {
   std::map<std::string, ordered_json> all;
   std::istringstream in(text);
   for (std::string line; std::getline(in, line);) {
     if (line.starts_with("#"))
       all[line] = "";
     else if (!line.empty())
-      all[metric_pattern(line)] = 0;
+      all[metric_template(line)] = 0;
   }
   ordered_json out = ordered_json::object();
   for (auto& [name, value] : all) out[name] = std::move(value);
@@ -121,39 +122,44 @@
 }
 
 TrafficItem TrafficClassifier::message(const SimulatedCluster::Outgoing& item) {
-  const auto& m = *item.message;
-  const auto kind = m.value("t", "");
-  const auto bytes = wire::to_cbor(m);
-  TrafficItem out{"message " + kind, ordered_json::from_cbor(bytes), to_hex(bytes), m.dump()};
+  const auto& message = *item.message;
+  const auto kind = message.value("t", "");
+  const auto bytes = wire::to_cbor(message);
+  TrafficItem out{"message " + kind, ordered_json::from_cbor(bytes), to_hex(bytes), message.dump()};
   if (kind == "tell") {
-    const auto what = m.value("what", "");
-    asked_[item.from + ' ' + m.value("id", json()).dump()] = what;
-    out.kind += ' ' + what;
+    const auto subject = message.value("what", "");
+    query_subjects_[item.from + ' ' + message.value("id", json()).dump()] = subject;
+    out.kind += ' ' + subject;
   }
-  if (kind == "told") out.kind += ' ' + asked_[item.to + ' ' + m.value("id", json()).dump()];
+  if (kind == "told")
+    out.kind += ' ' + query_subjects_[item.to + ' ' + message.value("id", json()).dump()];
   return out;
 }
 
 std::vector<TrafficItem> TrafficClassifier::request(const SimulatedCluster::Outgoing& item) const {
-  const auto& r = *item.request;
-  auto body = body_of(r.body);
+  const auto& request = *item.request;
+  auto body = body_of(request.body);
   std::vector<TrafficItem> out;
-  if (item.to == kStore && r.path == "/txn") out = take_records(body);
-  const auto kind = receiver_of(item.to) + ' ' + r.method + ' ' + path_pattern(r.path);
-  out.push_back({kind, std::move(body), r.body, r.path});
+  if (item.to == kStoreEndpoint && request.path == "/txn") out = extract_records(body);
+  const auto kind = receiver_of(item.to) + ' ' + request.method + ' ' + path_template(request.path);
+  out.push_back({kind, std::move(body), request.body, request.path});
   return out;
 }
 
 TrafficItem TrafficClassifier::response(const SimulatedCluster::Outgoing& item) const {
-  const auto& q = *item.request;
-  const auto& r = *item.response;
-  ordered_json value{{"type", r.type}, {"allow", r.allow}, {"retry", r.retry_after_s > 0}};
-  value["body"] = r.type.starts_with(kMetricsType) ? metrics_in(r.body) : body_of(r.body);
-  // Any request may be refused for a while: which ones are is chance.
-  const bool refused = r.status == kUnavailable || r.status == kTooManyRequests;
-  auto kind = item.to + ' ' + (refused ? "any request" : q.method + ' ' + path_pattern(q.path)) +
-              " -> " + std::to_string(r.status);
-  return {std::move(kind), std::move(value), r.body, q.body};
+  const auto& request = *item.request;
+  const auto& response = *item.response;
+  ordered_json value{
+      {"type", response.type}, {"allow", response.allow}, {"retry", response.retry_after_s > 0}};
+  value["body"] = response.type.starts_with(kMetricsContentType) ? parse_metrics(response.body)
+                                                                 : body_of(response.body);
+  // Rejections share one kind per receiver and status, because any request may be rejected.
+  const bool rejected =
+      response.status == kServiceUnavailableStatus || response.status == kTooManyRequestsStatus;
+  auto kind = item.to + ' ' +
+              (rejected ? "any request" : request.method + ' ' + path_template(request.path)) +
+              " -> " + std::to_string(response.status);
+  return {std::move(kind), std::move(value), response.body, request.body};
 }
 
 std::vector<TrafficItem> TrafficClassifier::classify(const SimulatedCluster::Outgoing& item) {
--- a/tests/compat/traffic.hpp
+++ b/tests/compat/traffic.hpp
@@ -3,21 +3,22 @@
 #include <string>
 #include <vector>
 
-#include "compat/form.hpp"
+#include "compat/schema.hpp"
 #include "simulation/simulated_cluster.hpp"
 
 namespace limemast::compat {
-/// One thing that left a controller, or a part of it that has a form of its own.
+/// An item that a controller sent, or a part of it that has a schema of its own.
 struct TrafficItem {
   std::string
       kind;  ///< "message report", "store POST /txn", "record w/open/", "user GET ... -> 200"
-  ordered_json value;   ///< what its form is taken of
-  std::string exact;    ///< its bytes as they leave: JSON or other text, hex for messages
-  std::string context;  ///< of a record its key, of a response the request's body
+  ordered_json value;   ///< the value from which its schema is inferred
+  std::string payload;  ///< the bytes as sent: JSON or other text, hexadecimal for messages
+  std::string context;  ///< a message as JSON, a record's key, a request's path, or the body of the
+                        ///< request that a response answers
 };
 
-/// Tells what kind of thing each outgoing item is. Keeps what was asked of controllers, as the
-/// answers to that question ("told") have a form for each thing asked.
+/// Classifies outgoing items by kind. Remembers the subject of each status query between
+/// controllers ("tell"), because the replies ("told") have a schema for each subject.
 class TrafficClassifier {
  public:
   std::vector<TrafficItem> classify(const simulation::SimulatedCluster::Outgoing& item);
@@ -26,28 +27,28 @@
   TrafficItem message(const simulation::SimulatedCluster::Outgoing& item);
   std::vector<TrafficItem> request(const simulation::SimulatedCluster::Outgoing& item) const;
   TrafficItem response(const simulation::SimulatedCluster::Outgoing& item) const;
-  std::map<std::string, std::string> asked_;  ///< asker and id of a question -> what was asked
+  std::map<std::string, std::string> query_subjects_;  ///< by sender and id of the query
 };
 
-/// Two hexadecimal digits a byte, and back.
+/// Converts bytes to two hexadecimal digits each, and back.
 std::string to_hex(const std::vector<std::uint8_t>& bytes);
 std::vector<std::uint8_t> from_hex(const std::string& text);
-/// Under which prefix a key of the store stands: "w/open/", or the whole key if it is the only one.
+/// The prefix of a store key, such as "w/open/", or the whole key if it has no known prefix.
 std::string prefix_of_key(const std::string& key);
-/// Names of metrics with their labels, help and type, in the order of their names.
-ordered_json metrics_in(const std::string& text);
+/// The HELP and TYPE lines and the names with labels of a metrics page, sorted.
+ordered_json parse_metrics(const std::string& text);
 
-/// Forms of all kinds, and how often each was seen.
-struct TrafficForms {
+/// The schemas of all kinds, and how many items of each were seen.
+struct TrafficSchemas {
   struct Kind {
-    Form form;
+    Schema schema;
     std::uint64_t seen = 0;
   };
   std::map<std::string, Kind> kinds;
   void add(const TrafficItem& item) {
-    auto& k = kinds[item.kind];
-    ++k.seen;
-    k.form.add(item.value);
+    auto& kind = kinds[item.kind];
+    ++kind.seen;
+    kind.schema.add(item.value);
   }
 };
 }  // namespace limemast::compat
