--- a/bench/fingerprint/compare.sh
+++ b/bench/fingerprint/compare.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Compares what leaves the controllers of two builds: compare.sh BUILD_A BUILD_B [SEEDS=30]
-# Lists the seeds whose fingerprints differ; exit code 1 if there are any, 2 if it could not compare.
-# The first difference of a seed: run both with --trace and diff the files.
+# Compares the fingerprints of two builds: compare.sh BUILD_A BUILD_B [SEEDS=30]
+# Lists the seeds whose fingerprints differ. Exits with 1 if there are any and with 2 if a build cannot be run.
+# To find the first difference of a seed, run both builds with --trace and diff the files.
 set -euo pipefail
 
 if [ $# -lt 2 ] || [ $# -gt 3 ]; then
@@ -40,4 +40,4 @@
   echo "${#differing[@]} of $seeds seeds differ: ${differing[*]}"
   exit 1
 fi
-echo "all $seeds seeds alike"
+echo "all $seeds seeds have equal fingerprints"
--- a/bench/fingerprint/fingerprint.cpp
+++ b/bench/fingerprint/fingerprint.cpp
@@ -1,5 +1,5 @@
-// Plays simulated days and prints for each seed one hash over all that left the controllers. Two
-// builds that print the same hashes behave alike in these days; compare.sh compares them.
+// Simulates one day per seed and prints a hash of everything that the controllers sent. Two builds
+// that print the same hashes behaved identically; compare.sh compares them.
 #include <cstdlib>
 #include <fstream>
 #include <iomanip>
@@ -14,7 +14,7 @@
 namespace {
 using namespace limemast;
 
-constexpr int kBadUsage = 2;
+constexpr int kUsageErrorExitCode = 2;
 
 struct Arguments {
   std::uint64_t first_seed = 1, last_seed = 1;
@@ -23,30 +23,31 @@
 
 int usage() {
   std::cerr << "usage: fingerprint [--trace FILE] FIRST_SEED [LAST_SEED]\n";
-  return kBadUsage;
+  return kUsageErrorExitCode;
 }
 
-bool read_seed(const std::string& text, std::uint64_t& seed) {
+bool parse_seed(const std::string& text, std::uint64_t& seed) {
   if (text.empty() || text.find_first_not_of("0123456789") != std::string::npos) return false;
   seed = std::strtoull(text.c_str(), nullptr, 10);
   return true;
 }
 
-bool read(int count, char** texts, Arguments& out) {
-  int seeds = 0;
+bool parse_arguments(int count, char** texts, Arguments& out) {
+  int seed_count = 0;
   for (int i = 1; i < count; ++i) {
     const std::string text = texts[i];
     if (text == "--trace" && i + 1 < count) {
       out.trace_file = texts[++i];
       continue;
     }
-    if (seeds == 2 || !read_seed(text, seeds == 0 ? out.first_seed : out.last_seed)) return false;
-    if (++seeds == 1) out.last_seed = out.first_seed;
+    if (seed_count == 2 || !parse_seed(text, seed_count == 0 ? out.first_seed : out.last_seed))
+      return false;
+    if (++seed_count == 1) out.last_seed = out.first_seed;
   }
-  return seeds > 0;
+  return seed_count > 0;
 }
 
-void play(std::uint64_t seed, std::ostream* trace) {
+void simulate_day(std::uint64_t seed, std::ostream* trace) {
   simulation::SimulatedWorld world(seed);
   compat::OutgoingLog log(world, trace);
   compat::FaultDay day(world, seed, [&](const auto& item) { log.add(item); });
@@ -58,17 +59,17 @@
 
 int main(int argc, char** argv) {
   Arguments arguments;
-  if (!read(argc, argv, arguments)) return usage();
+  if (!parse_arguments(argc, argv, arguments)) return usage();
   spdlog::set_level(spdlog::level::off);
   std::ofstream trace;
   if (!arguments.trace_file.empty()) {
     trace.open(arguments.trace_file);
     if (!trace) {
       std::cerr << "--trace: cannot write " << arguments.trace_file << '\n';
-      return kBadUsage;
+      return kUsageErrorExitCode;
     }
   }
   for (auto seed = arguments.first_seed; seed <= arguments.last_seed; ++seed)
-    play(seed, trace.is_open() ? &trace : nullptr);
+    simulate_day(seed, trace.is_open() ? &trace : nullptr);
   return 0;
 }
--- a/bench/site.sh
+++ b/bench/site.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Writes a copy of a bench site with more machines, more arrivals and faster restarts: the operators' own days have up to half as
-# many machines again as their files, and a process that ends may be back within a fraction of a second.
+# Writes a copy of a bench site with more machines, more job arrivals and faster restarts of processes. The defaults match operators'
+# days, which have up to 1.5 times the machines of their files and processes that restart within a fraction of a second.
 #   bench/site.sh SITE.toml OUTPUT-DIRECTORY [MACHINES=1.5] [ARRIVALS=1.3] [RESTART_S=0.25]
 # The copy must lie outside the repository.
 set -euo pipefail
--- a/tests/bench/diagnostics_bench.cpp
+++ b/tests/bench/diagnostics_bench.cpp
@@ -1,5 +1,6 @@
-// What knowing why jobs wait costs: a single event at growing queues, and a whole deployment with
-// the operators' interface on and off. Not part of CI: the figures stand in docs/notes/console.md.
+// Measures the cost of tracking why jobs are pending: one update at growing queue lengths, and a
+// simulated deployment with and without the operator API. CI does not run it; docs/notes/console.md
+// has the results.
 #include <benchmark/benchmark.h>
 #include <spdlog/spdlog.h>
 
@@ -14,8 +15,8 @@
   return "wk-" + std::string(6 - std::min<std::size_t>(6, digits.size()), '0') + digits;
 }
 
-/// One job of `range` moves in its line and changes its cause.
-void BM_Event(benchmark::State& state) {
+/// One of `range` jobs changes its queue position and its pending reason.
+void BM_PendingReasonUpdate(benchmark::State& state) {
   const auto n = static_cast<std::size_t>(state.range(0));
   diagnostics::PendingReasonTable pending_reasons(true);
   std::vector<std::string> uids;
@@ -40,11 +41,14 @@
   }
   state.SetComplexityN(state.range(0));
 }
-BENCHMARK(BM_Event)->RangeMultiplier(10)->Range(100, 100'000)->Complexity(benchmark::oLogN);
+BENCHMARK(BM_PendingReasonUpdate)
+    ->RangeMultiplier(10)
+    ->Range(100, 100'000)
+    ->Complexity(benchmark::oLogN);
 
-/// A second of three controllers with 10,000 waiting jobs of ten tasks each; 0: interface off, 1:
-/// on, 2: on and asked ten times.
-void BM_QueueSecond(benchmark::State& state) {
+/// One simulated second of three controllers with 10,000 pending jobs of ten tasks each. The
+/// operator API is off with argument 0, on with 1, and gets ten rehearsed requests a second with 2.
+void BM_SimulatedSecondWithPendingJobs(benchmark::State& state) {
   spdlog::set_level(spdlog::level::off);
   SimulatedWorld world(3);
   auto settings = settings_with_operators();
@@ -72,7 +76,12 @@
   state.counters["waiting"] =
       static_cast<double>(cluster.node(cluster.leader())->pending_reasons().size());
 }
-BENCHMARK(BM_QueueSecond)->Arg(0)->Arg(1)->Arg(2)->Unit(benchmark::kMillisecond)->Iterations(20);
+BENCHMARK(BM_SimulatedSecondWithPendingJobs)
+    ->Arg(0)
+    ->Arg(1)
+    ->Arg(2)
+    ->Unit(benchmark::kMillisecond)
+    ->Iterations(20);
 }  // namespace
 }  // namespace limemast
 BENCHMARK_MAIN();
