--- a/tests/bench/large_deployment_bench.cpp
+++ b/tests/bench/large_deployment_bench.cpp
@@ -19,6 +19,8 @@
 using namespace limemast;
 using namespace limemast::simulation;
 
+constexpr std::size_t kMachinePools = 12;  ///< of each type, zone and spot or on-demand
+
 /// Fills the deployment with services and long arrays. Returns whether 95 % of the machines are up.
 bool fill(SimulatedCluster& cluster, std::size_t machines) {
   cluster.stop_arrivals();
@@ -37,7 +39,8 @@
   SimulatedWorld world(seed);
   auto settings = fleet_settings();
   settings.start.ask_unheard = std::getenv("ASK_UNHEARD") != nullptr;
-  SimulatedCluster cluster(world, settings, {.per_pool = machines / 12 + 1, .scripted = true});
+  SimulatedCluster cluster(world, settings,
+                           {.per_pool = machines / kMachinePools + 1, .scripted = true});
   if (!fill(cluster, machines)) return std::puts("fewer than 95 % of the machines are up"), 1;
   const auto machines_before = cluster.up_machines();
   for (std::size_t i = 0; i < 3; ++i) cluster.crash(i, seconds(delay));
@@ -73,7 +76,8 @@
 int measure_size(std::size_t machines) {
   SimulatedWorld world(1);
   const auto settings = fleet_settings();
-  SimulatedCluster cluster(world, settings, {.per_pool = machines / 12 + 1, .scripted = true});
+  SimulatedCluster cluster(world, settings,
+                           {.per_pool = machines / kMachinePools + 1, .scripted = true});
   if (!fill(cluster, machines)) return std::puts("fewer than 95 % of the machines are up"), 1;
   std::size_t records = 0, largest_bytes = 0, listed_machines = 0;
   cluster.state().each([&](const std::string& key, const wire::json& value) {
--- a/tests/bench/overload_bench.cpp
+++ b/tests/bench/overload_bench.cpp
@@ -15,12 +15,17 @@
 namespace {
 using namespace simulation;
 
+constexpr std::uint32_t kMaxRemainingTasks = 300;
+constexpr std::int64_t kMaxCopiedProbes = 512;  ///< per machine
+constexpr std::size_t kProbedJobs = 500;
+constexpr std::size_t kMachinePools = 12;  ///< of each type, zone and spot or on-demand
+
 scheduling::ProbedJob make_job(std::size_t i, std::mt19937_64& random) {
   scheduling::ProbedJob job;
   job.uid = "wk-" + std::to_string(100000 + i);
   job.owner = ids::ControllerId("node-0", 1);
   job.estimate = wire::Seconds(20 + static_cast<double>(random() % 1000) / 100);
-  job.remaining = 1 + static_cast<std::uint32_t>(random() % 300);
+  job.remaining = 1 + static_cast<std::uint32_t>(random() % kMaxRemainingTasks);
   job.need = {2, 4, 0};
   return job;
 }
@@ -40,13 +45,13 @@
     const auto job = queue.choose({}, fits);
     benchmark::DoNotOptimize(job);
     const auto remaining = table.at(*job).remaining;
-    table.set_remaining(*job, remaining > 1 ? remaining - 1 : 300);
+    table.set_remaining(*job, remaining > 1 ? remaining - 1 : kMaxRemainingTasks);
   }
   state.SetComplexityN(state.range(0));
 }
 BENCHMARK(BM_ChooseProbe)->Arg(10)->Arg(100)->Arg(500)->Arg(2500)->Complexity();
 
-/// A probe with its own copy of the job's data.
+/// A probe with its own copy of the job's data, as an alternative to the shared ProbeTable.
 struct CopiedProbe {
   std::string uid, owner;
   double estimate, bypassed = 0;
@@ -57,7 +62,7 @@
 void BM_ChooseFromCopiedProbes(benchmark::State& state) {
   std::mt19937_64 random(1);
   std::list<CopiedProbe> probes;
-  for (std::int64_t i = 0; i < std::min<std::int64_t>(state.range(0), 512); ++i) {
+  for (std::int64_t i = 0; i < std::min<std::int64_t>(state.range(0), kMaxCopiedProbes); ++i) {
     const auto job = make_job(static_cast<std::size_t>(i), random);
     probes.push_back(
         {job.uid, job.owner.text(), job.estimate.count(), 0, job.remaining, 2, 4, 0, {}});
@@ -75,12 +80,12 @@
       max_estimate = std::min(max_estimate, 5 * probe.estimate - probe.bypassed);
     }
     benchmark::DoNotOptimize(best);
-    best->remaining = best->remaining > 1 ? best->remaining - 1 : 300;
+    best->remaining = best->remaining > 1 ? best->remaining - 1 : kMaxRemainingTasks;
   }
 }
 BENCHMARK(BM_ChooseFromCopiedProbes)->Arg(10)->Arg(100)->Arg(500)->Arg(2500);
 
-/// An owner updates the remaining tasks of one of 500 jobs, each with a probe at every machine.
+/// An owner updates the remaining tasks of one job. Each job has a probe at every machine.
 /// Argument: machines.
 void BM_UpdateRemainingTasks(benchmark::State& state) {
   std::mt19937_64 random(1);
@@ -90,12 +95,13 @@
     queues.push_back(
         std::make_unique<scheduling::ProbeQueue>(table, static_cast<ids::DenseId>(m), 5));
   std::vector<ids::DenseId> jobs;
-  for (std::size_t i = 0; i < 500; ++i) {
+  for (std::size_t i = 0; i < kProbedJobs; ++i) {
     jobs.push_back(table.upsert(make_job(i, random)));
-    for (auto& q : queues) q->add(jobs.back());
+    for (auto& queue : queues) queue->add(jobs.back());
   }
   for (auto _ : state)
-    table.set_remaining(jobs[random() % jobs.size()], static_cast<std::uint32_t>(random() % 300));
+    table.set_remaining(jobs[random() % jobs.size()],
+                        static_cast<std::uint32_t>(random() % kMaxRemainingTasks));
 }
 BENCHMARK(BM_UpdateRemainingTasks)->Arg(300)->Arg(1200)->Arg(1840)->Arg(5000);
 
@@ -104,7 +110,7 @@
   SimulatedWorld world{7};
   SimulatedCluster cluster;
   FullDeployment(std::size_t machines, std::size_t jobs)
-      : cluster(world, settings(), {.per_pool = machines / 12 + 1, .scripted = true}) {
+      : cluster(world, settings(), {.per_pool = machines / kMachinePools + 1, .scripted = true}) {
     spdlog::set_level(spdlog::level::off);
     cluster.stop_arrivals();
     cluster.run(5s);
--- a/tests/model/model.hpp
+++ b/tests/model/model.hpp
@@ -9,8 +9,7 @@
 /// controllers, two machines and one job of one task, which controller i would start on machine i.
 /// A step is an action of a controller or machine, or a fault: a message that is lost, late or
 /// repeated, a controller that is frozen between deciding and sending, or an outage of the
-/// key-value store. One tick is the longest time for which a controller may be certain of its
-/// membership.
+/// key-value store. Time advances in ticks; a renewed lease guarantees membership for two of them.
 ///
 /// The state is plain bytes, so that states can be hashed and compared.
 struct Controller {
@@ -20,7 +19,7 @@
   std::uint8_t certain_ticks = 2;  ///< remaining ticks for which a renewal guarantees membership
   bool frozen = false;
   std::uint8_t assigned_epoch = 0;     ///< epoch in which it assigned the task; 0: not assigned
-  std::uint8_t reported_machines = 0;  ///< bit set of machines that reported under its epoch
+  std::uint8_t reported_machines = 0;  ///< bit set of the machines that reported under its epoch
   bool knows_job_ended = false;
   std::uint8_t completion_hold_ticks = 0;  ///< ticks until it may write the end of a job that it
                                            ///< took over
--- a/tests/model/task_ownership_model.hpp
+++ b/tests/model/task_ownership_model.hpp
@@ -5,14 +5,16 @@
 #include "model/explore.hpp"
 
 namespace limemast::model::task_ownership {
-/// A model of faults that meet after a job has changed hands (model.hpp covers leases and
-/// evictions). It has three independent parts:
+/// A model of task ownership under faults other than evictions, which model.hpp covers. It has
+/// three independent parts:
 /// - Controller R keeps the lease of a machine. The key-value store may reject R, R's watch may
 ///   stall and R's links may be cut, while another controller confirms the end of the job that
 ///   runs on the machine.
 /// - R records progress by transactions that may be applied late.
-/// - Controller N has just taken over a task and may receive a heartbeat from before.
-/// Time is counted in ticks; the lease, its renewal and cancel_s have the order of the real values.
+/// - Controller N has just taken over a task and may receive a heartbeat that is older than the
+///   takeover.
+/// Time advances in ticks. The ratios of controller lease, machine lease and cancel_s are as in the
+/// real settings.
 struct State {
   // The job that has a task on R's machine.
   bool end_committed = false;      ///< the store holds the end of the job
