--- a/src/operator_api/operator_api.cpp
+++ b/src/operator_api/operator_api.cpp
@@ -124,7 +124,7 @@
     respond(std::move(r));
   };
   if (queue_.size() >= kMaxQueuedRequests || !rate_limiter_.take(runtime_.now(), 1))
-    return counted(error(503, "too many operator requests: retry later"));
+    return counted(error(503, "too many requests of operators"));
   queue_.push_back({request, std::move(counted), runtime_.now()});
   if (!std::exchange(queue_scheduled_, true))
     runtime_.after(kRequestInterval, [this] { process_queue(); });
@@ -133,7 +133,7 @@
 void OperatorApi::process_queue() {
   const auto now = runtime_.now();
   while (!queue_.empty() && now - queue_.front().since > kMaxQueueTime) {
-    queue_.front().respond(error(503, "controller busy: the request waited too long, retry later"));
+    queue_.front().respond(error(503, "busy"));
     queue_.pop_front();
   }
   if (!queue_.empty() && loop_delay_ < kMaxLoopDelay) {
--- a/src/operator_api/views.cpp
+++ b/src/operator_api/views.cpp
@@ -348,17 +348,17 @@
     d.requested_at = has.requested_at;  // the patience counts from the first request
   }
   if (!old && drains_.all().size() >= drains::kMaxDrains)
-    return respond(error(409, "drains: the maximum number of drains exists already"));
+    return respond(error(409, "drains: too many at once"));
   if (!membership_.may_act()) return respond(error(503, "not entitled"));
-  client_.txn(store::Priority::Background,
-              membership_.ownership_guards({{key, old ? old->mod_revision : store::kAbsent}}),
-              {{key, drains::to_json(d)}}, [respond, id](store::TxnResult r) {
-                if (r.status == store::TxnStatus::Ok)
-                  return respond({201, json{{"id", id}, {"drained", true}}.dump() + "\n", 0, {}});
-                respond(error(503, r.status == store::TxnStatus::Conflict
-                                       ? "the drain was changed concurrently: try again"
-                                       : "state service"));
-              });
+  client_.txn(
+      store::Priority::Background,
+      membership_.ownership_guards({{key, old ? old->mod_revision : store::kAbsent}}),
+      {{key, drains::to_json(d)}}, [respond, id](store::TxnResult r) {
+        if (r.status == store::TxnStatus::Ok)
+          return respond({201, json{{"id", id}, {"drained", true}}.dump() + "\n", 0, {}});
+        respond(error(503, r.status == store::TxnStatus::Conflict ? "changed meanwhile: try again"
+                                                                  : "state service"));
+      });
 }
 
 void OperatorApi::remove_drain(const std::string& id, net::Responder respond) {
@@ -366,14 +366,13 @@
   const auto* old = watch_cache_.find(key);
   if (!old) return respond(error(404, "no such drain"));
   if (!membership_.may_act()) return respond(error(503, "not entitled"));
-  client_.txn(store::Priority::Background, membership_.ownership_guards({{key, old->mod_revision}}),
-              {{key, std::nullopt}}, [respond, id](store::TxnResult r) {
-                if (r.status == store::TxnStatus::Ok)
-                  return respond(ok({{"id", id}, {"drained", false}}));
-                respond(error(503, r.status == store::TxnStatus::Conflict
-                                       ? "the drain was changed concurrently: try again"
-                                       : "state service"));
-              });
+  client_.txn(
+      store::Priority::Background, membership_.ownership_guards({{key, old->mod_revision}}),
+      {{key, std::nullopt}}, [respond, id](store::TxnResult r) {
+        if (r.status == store::TxnStatus::Ok) return respond(ok({{"id", id}, {"drained", false}}));
+        respond(error(503, r.status == store::TxnStatus::Conflict ? "changed meanwhile: try again"
+                                                                  : "state service"));
+      });
 }
 
 // ---- history and metrics ----
