--- a/tests/load/candidates_test.cpp
+++ b/tests/load/candidates_test.cpp
@@ -1,4 +1,4 @@
-// The lists of candidate machines agree with the registry that they are kept from.
+// The lists of candidate machines agree with the machine registry from which they are built.
 #include "machines/candidates.hpp"
 
 #include <map>
--- a/tests/load/failover_pulls_test.cpp
+++ b/tests/load/failover_pulls_test.cpp
@@ -1,4 +1,4 @@
-// Messages between controllers while a failover keeps jobs from being assigned.
+// Messages between controllers while a failover prevents the assignment of tasks.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
@@ -8,9 +8,9 @@
 namespace {
 using namespace simulation;
 
-// Each machine used to pull once a second for each job behind the failover barrier: thousands of
-// messages with one answer.
-TEST(FailoverPulls, JobsBehindTheFailoverBarrierAreNotPulledFor) {
+// Guards against machines that pull tasks every second for each job that the failover barrier
+// blocks, which causes thousands of identical responses.
+TEST(FailoverPulls, JobsBlockedByTheFailoverBarrierCauseNoPulls) {
   spdlog::set_level(spdlog::level::off);
   SimulatedWorld world(4);
   SimulatedCluster cluster(world, fleet_settings(),
@@ -18,7 +18,7 @@
   start_services(cluster, 6);
   for (int i = 0; i < 120; ++i) submit(cluster, array_job(cluster, 90, 40));
   cluster.run(40s);
-  // While the machines' heartbeats are lost the barrier is not passed, and nothing can be assigned.
+  // The barrier cannot open while heartbeats of machines are lost, so no task can be assigned.
   const auto crashed = (cluster.leader() + 1) % 3;
   cluster.crash(crashed, 60s);
   cluster.cut((crashed + 1) % 3, SimulatedCluster::Side::Workers, false, 14s);
@@ -26,7 +26,7 @@
   const auto pulls_before = cluster.messages("pull");
   cluster.run(6s);
   EXPECT_LT(cluster.messages("pull") - pulls_before, 2500U)
-      << "in six seconds, by some 400 machines and 120 jobs";
+      << "pull messages within 6 s, from about 400 machines for 120 jobs";
   cluster.run(250s);
   EXPECT_EQ(violations(cluster.invariants()), "");
 }
--- a/tests/load/load_scenarios.hpp
+++ b/tests/load/load_scenarios.hpp
@@ -1,17 +1,18 @@
 #pragma once
-// Work and deployments that the load tests share.
+// Jobs and deployments shared by the load tests.
 #include "simulation/scenarios.hpp"
 
 namespace limemast::simulation {
-/// An array of the class "sync" and team "blue" with this many tasks of two CPUs.
+/// Returns an array job of the class "sync" and the team "blue", with `tasks` tasks of two CPUs
+/// each.
 inline wire::JobSpec array_job(SimulatedCluster& cluster, std::uint32_t tasks, double estimate_s) {
   auto spec = plain(cluster, false, tasks, "blue", estimate_s, 2);
   spec.workload = "sync";
   return spec;
 }
 
-/// Stops the random arrivals and starts this many services of 75 replicas, until the deployment has
-/// grown to run them.
+/// Stops the random submissions, submits `services` services of 75 replicas each, and runs the
+/// cluster until enough machines for them have booted.
 inline void start_services(SimulatedCluster& cluster, std::size_t services) {
   cluster.stop_arrivals();
   cluster.run(std::chrono::seconds(5));
--- a/tests/load/rebalancing_test.cpp
+++ b/tests/load/rebalancing_test.cpp
@@ -1,4 +1,4 @@
-// Machines move away from a controller that has more work than the others.
+// Moves machines away from a controller that is more loaded than the others.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
@@ -8,7 +8,7 @@
 namespace {
 using namespace simulation;
 
-// The leader's event loop is made four times as slow as the others'.
+// The event loop of the leader is four times as slow as those of the other controllers.
 TEST(Rebalancing, MachinesLeaveTheMostLoadedControllerUntilLoadsAreEven) {
   spdlog::set_level(spdlog::level::off);
   SimulatedWorld world(9);
@@ -26,11 +26,12 @@
   const auto redirected = cluster.redirected();
   EXPECT_GT(redirected, 10U);
   EXPECT_LT(cluster.machines_of(leader), machines_before * 3 / 4)
-      << redirected << " of " << machines_before;
+      << redirected << " redirects, " << machines_before << " machines before";
   EXPECT_EQ(cluster.leases_lost(), leases_lost);
   EXPECT_EQ(violations(cluster.invariants()), "");
   cluster.run(100s);
-  EXPECT_LT(cluster.redirected() - redirected, redirected / 2 + 10) << "it does not come to rest";
+  EXPECT_LT(cluster.redirected() - redirected, redirected / 2 + 10)
+      << "machines keep moving between controllers";
 }
 }  // namespace
 }  // namespace limemast
--- a/tests/load/submission_flood_test.cpp
+++ b/tests/load/submission_flood_test.cpp
@@ -1,4 +1,4 @@
-// What a flood of submissions costs the controllers, and what still goes on in it.
+// Service levels during a flood of submissions while controllers fail.
 #include <algorithm>
 
 #include <gtest/gtest.h>
@@ -19,14 +19,14 @@
     spdlog::set_level(spdlog::level::off);
   }
 
-  /// Seven arrays a second for 45 s; on an ordinary day one comes every three and a half seconds.
+  /// Submits seven arrays per second for 45 s. The usual rate is one array per 3.5 s.
   void flood() {
     for (int second = 0; second < 45; ++second) {
       for (int i = 0; i < 7; ++i) arrays_.push_back(submit(cluster_, array_job(cluster_, 50, 25)));
       cluster_.run(1s);
     }
   }
-  /// One controller crashes, one pauses and is then cut off from the others.
+  /// Crashes one controller; pauses another one and then cuts it off from its peers.
   void fail_controllers() {
     const auto crashed = (cluster_.leader() + 1) % 3;
     const auto isolated = (cluster_.leader() + 2) % 3;
@@ -36,7 +36,7 @@
     cluster_.run(15s);
     cluster_.cut(isolated, SimulatedCluster::Side::Peers, true, 15s);
   }
-  /// Seconds until both replicas of a new service run, at most 40.
+  /// Submits a service and returns the seconds until both its replicas run, at most 40.
   double seconds_until_service_runs() {
     const auto uid = submit(cluster_, plain(cluster_, true, 2, "red", 0, 8));
     const auto submitted = world_.now();
@@ -64,15 +64,16 @@
   const auto leases_lost = cluster_.leases_lost();
   flood();
   fail_controllers();
-  // A service is of higher rank than all that waits.
-  std::vector<double> waits;
-  for (int i = 0; i < 10; ++i) waits.push_back(seconds_until_service_runs());
-  std::sort(waits.begin(), waits.end());
-  EXPECT_LT(waits[8], 12)
-      << "a replica fetches its image for some 2 s, and the controller is cut off for 15 s";
+  // Services have a higher rank than all waiting arrays.
+  std::vector<double> waits_s;
+  for (int i = 0; i < 10; ++i) waits_s.push_back(seconds_until_service_runs());
+  std::sort(waits_s.begin(), waits_s.end());
+  EXPECT_LT(waits_s[8], 12)
+      << "fetching an image takes about 2 s, and one controller is cut off for 15 s";
   cluster_.run(60s);
   EXPECT_EQ(violations(cluster_.invariants()), "");
-  EXPECT_EQ(cluster_.leases_lost(), leases_lost) << "by failures of controllers";
+  EXPECT_EQ(cluster_.leases_lost(), leases_lost)
+      << "worker leases that expired, before and after the controller failures";
   EXPECT_LT(unfinished_arrays(), arrays_.size() / 2);
   const auto& attainment = cluster_.node(cluster_.leader())->slo_attainment();
   for (const auto* sums : {&attainment.classes(), &attainment.teams()})
