--- a/src/cluster/startup_timeline.hpp
+++ b/src/cluster/startup_timeline.hpp
@@ -5,7 +5,8 @@
 #include "net/runtime.hpp"
 
 namespace limemast::cluster {
-/// Phases of a controller's startup. A crash may occur between any two (tests/restart/, CrashAt).
+/// Phases of a controller's startup. A crash may occur between any two (tests/restart/,
+/// CrashDuringStartup).
 enum class StartupPhase : unsigned char {
   Started,
   PreviousIncarnationFenced,  ///< no lease of an earlier process with this label remains
--- a/src/net/connection_limits.hpp
+++ b/src/net/connection_limits.hpp
@@ -19,7 +19,7 @@
 /// 4. a machine with tasks is never shut out: no idle connection of one is closed, and a new
 /// connection is refused only if no other can be closed.
 ///
-/// Covered by the test Sockets.NoMachineWithTasksIsEverShutOut.
+/// Covered by the test ConnectionLimitsUnderLoad.AMachineWithTasksCanAlwaysConnect.
 class ConnectionLimits {
  public:
   /// `most`: sockets for connections of this server.
--- a/tests/restart/process_test.cpp
+++ b/tests/restart/process_test.cpp
@@ -1,4 +1,4 @@
-// The process itself on loopback: addresses that are held, and such as can never be had.
+// The real process on loopback: listening addresses that are in use or cannot be assigned.
 #include <chrono>
 #include <csignal>
 #include <fstream>
@@ -15,24 +15,24 @@
 using namespace std::chrono_literals;
 using nlohmann::json;
 
-/// A port of this machine that somebody listens on, or that is free.
+/// A loopback port on which the test listens (`in_use`), or that is unused.
 class Port {
  public:
-  explicit Port(bool held) : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    socklen_t size = sizeof at;
-    EXPECT_EQ(bind(fd_, reinterpret_cast<sockaddr*>(&at), size), 0);
-    getsockname(fd_, reinterpret_cast<sockaddr*>(&at), &size);
-    number = ntohs(at.sin_port);
-    if (held)
+  explicit Port(bool in_use) : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    socklen_t size = sizeof address;
+    EXPECT_EQ(bind(fd_, reinterpret_cast<sockaddr*>(&address), size), 0);
+    getsockname(fd_, reinterpret_cast<sockaddr*>(&address), &size);
+    number = ntohs(address.sin_port);
+    if (in_use)
       EXPECT_EQ(listen(fd_, 4), 0);
     else
-      leave();
+      release();
   }
-  ~Port() { leave(); }
-  void leave() {
+  ~Port() { release(); }
+  void release() {
     if (fd_ >= 0) close(fd_);
     fd_ = -1;
   }
@@ -48,27 +48,28 @@
 class Process {
  public:
   Process(const std::string& serve_on, const std::string& back, const std::string& tuning = "") {
-    json s{{"label", "drover-0"},
-           {"domain", "a"},
-           {"serve_on", serve_on},
-           {"back", back},
-           {"others", json::array()},
-           {"outside", {{"cloud", "127.0.0.1:1"}, {"state", "127.0.0.1:1"}}}};
-    s["settings"] = {{"size", 1},
-                     {"zones", {"a"}},
-                     {"teams", json::array()},
-                     {"workers", {{"report_s", 2}, {"lease_s", 12}, {"cancel_s", 37}}},
-                     {"state", {{"rps", 10}, {"write_rps", 10}, {"value_kb", 8}, {"txn_ops", 12}}},
-                     {"cloud", {{"rps", 1}, {"list_lag_s", 1}}},
-                     {"limits", {{"max_connections", 100}}}};
-    std::ofstream(path("json")) << s;
+    json config{{"label", "drover-0"},
+                {"domain", "a"},
+                {"serve_on", serve_on},
+                {"back", back},
+                {"others", json::array()},
+                {"outside", {{"cloud", "127.0.0.1:1"}, {"state", "127.0.0.1:1"}}}};
+    config["settings"] = {
+        {"size", 1},
+        {"zones", {"a"}},
+        {"teams", json::array()},
+        {"workers", {{"report_s", 2}, {"lease_s", 12}, {"cancel_s", 37}}},
+        {"state", {{"rps", 10}, {"write_rps", 10}, {"value_kb", 8}, {"txn_ops", 12}}},
+        {"cloud", {{"rps", 1}, {"list_lag_s", 1}}},
+        {"limits", {{"max_connections", 100}}}};
+    std::ofstream(path("json")) << config;
     std::ofstream(path("toml")) << tuning;
-    const auto config = path("json"), tuned = path("toml"), log = path("log");
+    const auto config_path = path("json"), tuning_path = path("toml"), log_path = path("log");
     pid_ = fork();
     if (pid_ == 0) {
-      if (!freopen(log.c_str(), "w", stderr)) _exit(99);
-      execl(LIMEMAST_BINARY, LIMEMAST_BINARY, "--config", config.c_str(), "--tuning", tuned.c_str(),
-            nullptr);
+      if (!freopen(log_path.c_str(), "w", stderr)) _exit(99);
+      execl(LIMEMAST_BINARY, LIMEMAST_BINARY, "--config", config_path.c_str(), "--tuning",
+            tuning_path.c_str(), nullptr);
       _exit(99);
     }
   }
@@ -77,20 +78,21 @@
       kill(pid_, SIGKILL);
       waitpid(pid_, nullptr, 0);
     }
-    for (const char* what : {"json", "toml", "log"}) unlink(path(what).c_str());
+    for (const char* extension : {"json", "toml", "log"}) unlink(path(extension).c_str());
   }
-  /// Its exit code; -1 while it runs.
-  int code() {
+  /// The exit code; -1 while the process runs and 128 if a signal ended it.
+  int exit_code() {
     int status = 0;
     if (pid_ > 0 && waitpid(pid_, &status, WNOHANG) == pid_) {
       pid_ = -1;
-      code_ = WIFEXITED(status) ? WEXITSTATUS(status) : 128;
+      exit_code_ = WIFEXITED(status) ? WEXITSTATUS(status) : 128;
     }
-    return code_;
+    return exit_code_;
   }
-  int ends() {
-    for (int i = 0; i < 500 && code() < 0; ++i) std::this_thread::sleep_for(20ms);
-    return code_;
+  /// Waits for the process to exit, at most 10 s, and returns the exit code.
+  int wait_for_exit() {
+    for (int i = 0; i < 500 && exit_code() < 0; ++i) std::this_thread::sleep_for(20ms);
+    return exit_code_;
   }
   std::string log() const {
     std::ifstream in(path("log"));
@@ -98,65 +100,66 @@
   }
 
  private:
-  std::string path(const char* what) const {
-    return "/tmp/limemast-process-" + std::to_string(getpid()) + "." + what;
+  std::string path(const char* extension) const {
+    return "/tmp/limemast-process-" + std::to_string(getpid()) + "." + extension;
   }
   pid_t pid_ = -1;
-  int code_ = -1;
+  int exit_code_ = -1;
 };
 
-/// The status line of GET /ready, "" where nobody listens.
-std::string ready(std::uint16_t port) {
+/// The status line of the response to GET /ready; empty if the port does not accept connections.
+std::string ready_status_line(std::uint16_t port) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  sockaddr_in at{};
-  at.sin_family = AF_INET;
-  at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  at.sin_port = htons(port);
-  std::string out;
-  if (connect(fd, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0) {
-    const std::string ask = "GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n";
-    (void)!write(fd, ask.data(), ask.size());
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  address.sin_port = htons(port);
+  std::string response;
+  if (connect(fd, reinterpret_cast<sockaddr*>(&address), sizeof address) == 0) {
+    const std::string request = "GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n";
+    (void)!write(fd, request.data(), request.size());
     char buffer[256];
     for (ssize_t n; (n = read(fd, buffer, sizeof buffer)) > 0;)
-      out.append(buffer, static_cast<std::size_t>(n));
+      response.append(buffer, static_cast<std::size_t>(n));
   }
   close(fd);
-  return out.substr(0, out.find("\r\n"));
+  return response.substr(0, response.find("\r\n"));
 }
 
-// A process that was started while its port was held said so and ended with 1: its platform had
-// none that comes up.
-TEST(Process, AHeldPortIsWaitedFor) {
-  for (const bool users : {true, false}) {
-    Port held(true), other(false);
-    Process p(users ? held.address() : other.address(), users ? other.address() : held.address());
+// Guards against a process that exits with code 1 because its port is still in use when it starts.
+TEST(Process, WaitsForAPortThatIsInUse) {
+  for (const bool user_port_occupied : {true, false}) {
+    Port occupied(true), unused(false);
+    Process process(user_port_occupied ? occupied.address() : unused.address(),
+                    user_port_occupied ? unused.address() : occupied.address());
     std::this_thread::sleep_for(2s);
-    ASSERT_EQ(p.code(), -1) << p.log();
-    // Somebody of our name may live while it holds the address: nothing is begun, and nobody's
-    // grant ended.
-    EXPECT_EQ(ready(other.number), "");
-    held.leave();
-    const auto serve = users ? held.number : other.number;
-    std::string answer;
-    for (int i = 0; i < 500 && answer.empty(); ++i, std::this_thread::sleep_for(20ms))
-      answer = ready(serve);
-    EXPECT_EQ(answer,
-              "HTTP/1.1 503 Service Unavailable");  // it listens; the state service is nobody's
-    EXPECT_EQ(p.code(), -1);
+    ASSERT_EQ(process.exit_code(), -1) << process.log();
+    // A previous process with the same label may still run while the port is in use. The controller
+    // must not start yet, because it would end the store lease of that process; the other port
+    // therefore accepts no connections either.
+    EXPECT_EQ(ready_status_line(unused.number), "");
+    occupied.release();
+    const auto user_port = user_port_occupied ? occupied.number : unused.number;
+    std::string status_line;
+    for (int i = 0; i < 500 && status_line.empty(); ++i, std::this_thread::sleep_for(20ms))
+      status_line = ready_status_line(user_port);
+    // The process listens, but the store is unreachable.
+    EXPECT_EQ(status_line, "HTTP/1.1 503 Service Unavailable");
+    EXPECT_EQ(process.exit_code(), -1);
   }
 }
 
-TEST(Process, AnAddressThatCanNeverBeHadIsABadSetting) {
-  const Port one(false), two(false);
-  Process serve("192.0.2.1:" + std::to_string(one.number), two.address());
-  EXPECT_EQ(serve.ends(), 2);
-  EXPECT_TRUE(serve.log().starts_with("serve_on: cannot listen on 192.0.2.1")) << serve.log();
+TEST(Process, AnUnassignableAddressIsABadSetting) {
+  const Port user_port(false), peer_port(false);
+  Process process("192.0.2.1:" + std::to_string(user_port.number), peer_port.address());
+  EXPECT_EQ(process.wait_for_exit(), 2);
+  EXPECT_TRUE(process.log().starts_with("serve_on: cannot listen on 192.0.2.1")) << process.log();
 }
 
-TEST(Process, PatienceEndsWithTheFieldNamed) {
-  const Port held(true), other(false);
-  Process p(other.address(), held.address(), "[start]\nbind_patience_s = 0.3\n");
-  EXPECT_EQ(p.ends(), 1);
-  EXPECT_NE(p.log().find("back: cannot listen on"), std::string::npos) << p.log();
+TEST(Process, BindTimeoutNamesTheField) {
+  const Port occupied(true), unused(false);
+  Process process(unused.address(), occupied.address(), "[start]\nbind_patience_s = 0.3\n");
+  EXPECT_EQ(process.wait_for_exit(), 1);
+  EXPECT_NE(process.log().find("back: cannot listen on"), std::string::npos) << process.log();
 }
 }  // namespace
--- a/tests/restart/rejoin_backoff_test.cpp
+++ b/tests/restart/rejoin_backoff_test.cpp
@@ -9,11 +9,11 @@
 ControllerId leader() { return {"a", 1}; }
 ControllerId incarnation_of_b(std::uint64_t number) { return {"b", number}; }
 
-/// A controller A that leads, and another, B, that restarts.
+/// Controller A is the leader, and controller B restarts.
 class RejoinBackoffTest : public testing::Test {
  protected:
-  /// The registered controllers are A and the given ones.
-  void registered(std::set<ControllerId> others, net::Time now) {
+  /// Registers A and the given controllers, and no others.
+  void set_registered(std::set<ControllerId> others, net::Time now) {
     others.insert(leader());
     backoff_.observe(others, now);
   }
@@ -24,12 +24,12 @@
     return decide(now).members.contains(controller);
   }
   RejoinBackoff backoff_;
-  std::set<ControllerId> members_{leader()};  ///< of the epoch in force
+  std::set<ControllerId> members_{leader()};  ///< members of the current epoch
   net::Time now_{1000s};
 };
 
-TEST_F(RejoinBackoffTest, FirstRestartIsFreeAndFurtherOnesArePutOffLongerAndLonger) {
-  registered({incarnation_of_b(2)}, now_);
+TEST_F(RejoinBackoffTest, FirstRestartHasNoBackoffAndFurtherOnesHaveAnIncreasingBackoff) {
+  set_registered({incarnation_of_b(2)}, now_);
   EXPECT_TRUE(admitted(incarnation_of_b(2), now_));
 
   constexpr net::Duration kBackoffs[] = {0s, 1s, 2s, 4s, 8s, 16s, 30s, 30s};
@@ -37,24 +37,24 @@
   for (const auto backoff : kBackoffs) {
     now_ += 2s;
     const auto restarted = incarnation_of_b(number++);
-    registered({restarted}, now_);
+    set_registered({restarted}, now_);
     EXPECT_EQ(admitted(restarted, now_), backoff == 0s);
     EXPECT_EQ(admitted(restarted, now_ + backoff * 9 / 10), backoff == 0s);
     EXPECT_TRUE(admitted(restarted, now_ + backoff));
   }
 
-  // A member is not removed again, and after a minute without a loss the losses are forgotten.
+  // A member is not removed again, and a minute without a loss resets the backoff.
   members_.insert(incarnation_of_b(10));
   EXPECT_TRUE(admitted(incarnation_of_b(10), now_));
   now_ += 61s;
-  registered({incarnation_of_b(11)}, now_);
+  set_registered({incarnation_of_b(11)}, now_);
   EXPECT_TRUE(admitted(incarnation_of_b(11), now_));
 }
 
-TEST_F(RejoinBackoffTest, LossOfAMemberWaitsAMomentForItsNextIncarnation) {
-  registered({incarnation_of_b(2)}, now_);
+TEST_F(RejoinBackoffTest, EpochAfterALossWaitsBrieflyForTheNextIncarnation) {
+  set_registered({incarnation_of_b(2)}, now_);
   members_.insert(incarnation_of_b(2));
-  registered({}, now_);
+  set_registered({}, now_);
 
   const auto after_loss = decide(now_ + 10ms);
   EXPECT_TRUE(after_loss.wait);
@@ -62,18 +62,18 @@
   EXPECT_LE(*after_loss.reconsider_at - now_, 250ms);
   EXPECT_FALSE(decide(*after_loss.reconsider_at).wait);
 
-  // One epoch replaces the old incarnation by the new one.
-  registered({incarnation_of_b(5)}, now_ + 40ms);
+  // One epoch replaces the previous incarnation with the new one.
+  set_registered({incarnation_of_b(5)}, now_ + 40ms);
   const auto after_restart = decide(now_ + 40ms);
   EXPECT_FALSE(after_restart.wait);
   EXPECT_EQ(after_restart.members, (std::set<ControllerId>{leader(), incarnation_of_b(5)}));
 }
 
 TEST_F(RejoinBackoffTest, NewLeaderWaitsForControllersThatStartAtTheSameTime) {
-  registered({}, now_);
+  set_registered({}, now_);
   EXPECT_TRUE(backoff_.decide({}, leader(), now_, 3, now_).wait);
 
-  registered({incarnation_of_b(2), ControllerId("c", 3)}, now_ + 20ms);
+  set_registered({incarnation_of_b(2), ControllerId("c", 3)}, now_ + 20ms);
   const auto decision = backoff_.decide({}, leader(), now_, 3, now_ + 20ms);
   EXPECT_FALSE(decision.wait);
   EXPECT_EQ(decision.members.size(), 3U);
--- a/tests/restart/restart_test.cpp
+++ b/tests/restart/restart_test.cpp
@@ -1,5 +1,5 @@
-// Processes that are back at once: crashes at every step of the start, with all that the run before
-// sent arriving late.
+// Controllers that crash in every phase of their startup or restart at once, while messages of the
+// previous incarnation arrive late.
 #include <cstdlib>
 
 #include <gtest/gtest.h>
@@ -13,18 +13,18 @@
 using Side = SimulatedCluster::Side;
 using cluster::StartupPhase;
 
-class Restarts : public testing::Test {
+class ControllerRestarts : public testing::Test {
  protected:
-  static wire::Settings settings() {
-    auto s = settings_for_tests();
-    s.cancel_timeout = wire::Seconds(40);
-    s.teams = {{"red", {100, 400, 0, 0}}, {"blue", {}}};
-    s.tuning.idle_return = wire::Seconds(60);
-    return s;
+  static wire::Settings default_settings() {
+    auto settings = settings_for_tests();
+    settings.cancel_timeout = wire::Seconds(40);
+    settings.teams = {{"red", {100, 400, 0, 0}}, {"blue", {}}};
+    settings.tuning.idle_return = wire::Seconds(60);
+    return settings;
   }
-  explicit Restarts(std::uint64_t seed = 1, wire::Settings s = settings(),
-                    SimulatedCluster::Options options = {.per_pool = 8, .scripted = true})
-      : world_(seed), cluster_(world_, std::move(s), options) {
+  explicit ControllerRestarts(std::uint64_t seed = 1, wire::Settings settings = default_settings(),
+                              SimulatedCluster::Options options = {.per_pool = 8, .scripted = true})
+      : world_(seed), cluster_(world_, std::move(settings), options) {
     spdlog::set_level(std::getenv("SIM_LOG") ? spdlog::level::info : spdlog::level::off);
     cluster_.stop_arrivals();
   }
@@ -36,157 +36,167 @@
   std::uint32_t replicas(const std::vector<std::string>& services) {
     return simulation::running(cluster_, services);
   }
-  /// Runs until `done`; how long that took, or `most`.
-  template <class Done>
-  Duration until(Duration most, Done done, Duration step = 100ms) {
-    const auto begun = world_.now();
-    while (world_.now() - begun < most && !done()) cluster_.run(step);
-    return world_.now() - begun;
+  /// Runs the cluster until `condition` holds or `timeout` has passed, and returns the simulated
+  /// time that this took.
+  template <class Condition>
+  Duration run_until(Duration timeout, Condition condition, Duration step = 100ms) {
+    const auto started = world_.now();
+    while (world_.now() - started < timeout && !condition()) cluster_.run(step);
+    return world_.now() - started;
   }
-  std::uint64_t epoch() const {
+  /// The number of the newest epoch that any controller knows.
+  std::uint64_t newest_epoch() const {
     std::uint64_t newest = 0;
     for (std::size_t i = 0; i < 3; ++i)
-      if (const auto* n = cluster_.node(i))
-        newest = std::max(newest, n->membership().epoch().number.value());
+      if (const auto* instance = cluster_.node(i))
+        newest = std::max(newest, instance->membership().epoch().number.value());
     return newest;
   }
-  /// How many generations after `before` are written until `time` has passed.
-  std::size_t epochs_in(Duration time, std::uint64_t before) {
-    std::set<std::uint64_t> seen{before};
-    for (const auto end = world_.now() + time; world_.now() < end; cluster_.run(10ms))
-      seen.insert(std::max(before, epoch()));
-    return seen.size() - 1;
+  /// Runs the cluster for `duration` and returns the number of epochs after `before` that a
+  /// controller reached.
+  std::size_t count_epochs(Duration duration, std::uint64_t before) {
+    std::set<std::uint64_t> epochs{before};
+    for (const auto end = world_.now() + duration; world_.now() < end; cluster_.run(10ms))
+      epochs.insert(std::max(before, newest_epoch()));
+    return epochs.size() - 1;
   }
-  bool reached(std::size_t node, StartupPhase phase) const {
-    const auto* n = cluster_.node(node);
-    return n && n->membership().startup_times()[static_cast<std::size_t>(phase)] != net::Time{};
+  bool reached(std::size_t controller, StartupPhase phase) const {
+    const auto* instance = cluster_.node(controller);
+    return instance &&
+           instance->membership().startup_times()[static_cast<std::size_t>(phase)] != net::Time{};
   }
   SimulatedWorld world_;
   SimulatedCluster cluster_;
 };
 
-enum class Amid { Quiet, SlowState, StateAway, Refused, LinksRefused };
-struct Start {
+enum class StartupFault { None, SlowStore, StoreOutage, StoreLinkCut, PeerLinksCut };
+struct StartupCrash {
   StartupPhase phase;
-  Amid amid;
+  StartupFault fault;
 };
-void PrintTo(const Start& s, std::ostream* out) {
-  *out << cluster::name_of(s.phase) << ", trouble " << static_cast<int>(s.amid);
+void PrintTo(const StartupCrash& crash, std::ostream* out) {
+  *out << cluster::name_of(crash.phase) << ", fault " << static_cast<int>(crash.fault);
 }
 
-/// Each step of the start, amid each trouble; one, two and all controllers, and the delays, by
-/// seeds.
-class CrashAt : public Restarts, public testing::WithParamInterface<Start> {};
+/// One, two or all controllers crash when they reach a startup phase, while another fault is
+/// present.
+class CrashDuringStartup : public ControllerRestarts,
+                           public testing::WithParamInterface<StartupCrash> {};
 
-TEST_P(CrashAt, TwiceInARowWithLateMessagesOfTheFormerRun) {
-  constexpr Duration kDelays[] = {0ms, 20ms, 200ms, 900ms};
-  const auto [phase, amid] = GetParam();
+TEST_P(CrashDuringStartup, TwiceInARowWithDelayedMessagesOfThePreviousIncarnation) {
+  constexpr Duration kRestartDelays[] = {0ms, 20ms, 200ms, 900ms};
+  const auto [phase, fault] = GetParam();
   std::vector<std::string> services;
   for (int i = 0; i < 4; ++i) services.push_back(submit(true, 4, 0, i % 2 ? "red" : "blue"));
-  until(60s, [&] { return replicas(services) == 16; });
+  run_until(60s, [&] { return replicas(services) == 16; });
   for (std::size_t round = 0; round < 4; ++round) {
     const auto work = submit(false, 12, 6);
     cluster_.run(seconds(world_.uniform(1, 4)));
-    switch (amid) {
-      case Amid::Quiet:
+    switch (fault) {
+      case StartupFault::None:
         break;
-      case Amid::SlowState:
+      case StartupFault::SlowStore:
         cluster_.state_slow(300ms, 8s);
         break;
-      case Amid::StateAway:
+      case StartupFault::StoreOutage:
         cluster_.state_outage(3s);
         break;
-      case Amid::Refused:
+      case StartupFault::StoreLinkCut:
         cluster_.cut(round % 3, Side::State, true, 3s);
         break;
-      case Amid::LinksRefused:
+      case StartupFault::PeerLinksCut:
         for (std::size_t i = 0; i < 3; ++i) cluster_.cut(i, Side::Peers, false, 8s);
         break;
     }
-    for (int twice = 0; twice < 2; ++twice)
+    for (int crash = 0; crash < 2; ++crash)
       for (std::size_t i = 0; i <= round % 3; ++i) {
-        const auto node = (round + i) % 3;
-        until(
-            12s, [&] { return reached(node, phase); }, 2ms);
-        cluster_.delay_sent(node, 3s,
-                            60ms);  // what it sent last, and what its successor sends first
+        const auto controller = (round + i) % 3;
+        run_until(
+            12s, [&] { return reached(controller, phase); }, 2ms);
+        // Delays the last messages of this incarnation and the first ones of the next.
+        cluster_.delay_sent(controller, 3s, 60ms);
         cluster_.run(30ms);
-        cluster_.crash(node, kDelays[(round + i) % 4]);
+        cluster_.crash(controller, kRestartDelays[(round + i) % 4]);
       }
     cluster_.run(12s);
     ASSERT_EQ(violations(cluster_.invariants()), "") << "round " << round;
   }
-  EXPECT_LT(until(90s,
-                  [&] {
-                    return cluster_.unfinished().empty() && replicas(services) == 16 &&
-                           cluster_.up_controllers() == 3;
-                  }),
+  EXPECT_LT(run_until(90s,
+                      [&] {
+                        return cluster_.unfinished().empty() && replicas(services) == 16 &&
+                               cluster_.up_controllers() == 3;
+                      }),
             90s)
       << cluster_.unfinished().size() << " jobs left, " << replicas(services) << " replicas, "
       << cluster_.up_controllers() << " controllers";
 }
-std::vector<Start> starts() {
-  std::vector<Start> out;
+std::vector<StartupCrash> startup_crashes() {
+  std::vector<StartupCrash> crashes;
   for (std::size_t phase = 0; phase < cluster::kStartupPhases; ++phase)
-    for (auto amid :
-         {Amid::Quiet, Amid::SlowState, Amid::StateAway, Amid::Refused, Amid::LinksRefused})
-      out.push_back({static_cast<StartupPhase>(phase), amid});
-  return out;
+    for (auto fault : {StartupFault::None, StartupFault::SlowStore, StartupFault::StoreOutage,
+                       StartupFault::StoreLinkCut, StartupFault::PeerLinksCut})
+      crashes.push_back({static_cast<StartupPhase>(phase), fault});
+  return crashes;
 }
-INSTANTIATE_TEST_SUITE_P(Steps, CrashAt, testing::ValuesIn(starts()));
+INSTANTIATE_TEST_SUITE_P(Phases, CrashDuringStartup, testing::ValuesIn(startup_crashes()));
 
-// A loss and its successor's joining were two generations 400 ms apart; all three took up to six.
-TEST_F(Restarts, AFastRestartIsOneGenerationAndThreeTogetherAreTwo) {
+// Guards against one epoch for the loss of a controller and another for its next incarnation when
+// one epoch can cover both.
+TEST_F(ControllerRestarts, AFastRestartTakesOneEpochAndThreeTogetherTakeTwo) {
   cluster_.run(10s);
   for (std::size_t i = 0; i < 3; ++i) {
-    const auto before = epoch();
+    const auto before = newest_epoch();
     cluster_.crash(i, 200ms);
-    EXPECT_LE(epochs_in(5s, before), 1u + (i == 0)) << "controller " << i;  // one of them led
+    // The bound for the first crash allows one more epoch, for a change of leader.
+    EXPECT_LE(count_epochs(5s, before), 1u + (i == 0)) << "controller " << i;
     cluster_.run(70s);
     EXPECT_EQ(cluster_.up_controllers(), 3u);
   }
-  const auto before = epoch();  // none of them can tell once all have ended
+  const auto before = newest_epoch();  // This is unknown once all controllers are down.
   for (std::size_t i = 0; i < 3; ++i) cluster_.crash(i, 20ms * i);
-  EXPECT_LE(epochs_in(5s, before), 2u);
+  EXPECT_LE(count_epochs(5s, before), 2u);
   EXPECT_EQ(cluster_.up_controllers(), 3u);
 }
 
-// Each end of a controller that came back every time was a generation and a gate for the others'
-// work.
-TEST_F(Restarts, OneThatEndsEveryTwoSecondsCostsTheOthersLittle) {
+// Guards against a crash-looping controller that blocks the work of the others, because each crash
+// and each restart causes an epoch and a failover barrier.
+TEST_F(ControllerRestarts, ACrashLoopDoesNotBlockTheOtherControllers) {
   std::vector<std::string> services;
   for (int i = 0; i < 4; ++i) services.push_back(submit(true, 4));
-  until(60s, [&] { return replicas(services) == 16; });
+  run_until(60s, [&] { return replicas(services) == 16; });
   cluster_.run(20s);
-  const auto flapping = (cluster_.leader() + 1) % 3;
-  std::size_t generations = 0;
-  std::vector<double> waits;
+  const auto crash_looping = (cluster_.leader() + 1) % 3;
+  std::size_t epochs = 0;
+  std::vector<double> waits_s;
   for (int i = 0; i < 90; ++i) {
-    cluster_.crash(flapping, 100ms);
+    cluster_.crash(crash_looping, 100ms);
     if (i % 15 == 0)
-      submit(false, 6, 5);  // some of them fall to the one that ends, and are taken over
-    if (i % 10 == 5) {      // a new job's start, from its submission on
+      submit(false, 6,
+             5);  // Some of these jobs fall to the crash-looping controller and are taken over.
+    if (i % 10 == 5) {  // Measures the time from submission to start.
       const auto uid = submit(true, 1, 0, "blue");
-      const auto begun = world_.now();
-      generations += epochs_in(1900ms, epoch());
-      until(
+      const auto submitted = world_.now();
+      epochs += count_epochs(1900ms, newest_epoch());
+      run_until(
           20s, [&] { return cluster_.running()[uid] == 1; }, 20ms);
-      waits.push_back(net::to_seconds(world_.now() - begun).count());
+      waits_s.push_back(net::to_seconds(world_.now() - submitted).count());
     } else {
-      generations += epochs_in(1900ms, epoch());
+      epochs += count_epochs(1900ms, newest_epoch());
     }
     EXPECT_EQ(replicas(services), 16u);
   }
-  EXPECT_LE(generations, 8u);                  // 180 where each end and each joining made one
-  for (const auto w : waits) EXPECT_LT(w, 8);  // with a fetch of up to 4 s and a machine that is up
-  EXPECT_LT(until(20s, [&] { return cluster_.unfinished().empty(); }), 20s);
+  // One epoch for each crash and each restart would make 180.
+  EXPECT_LE(epochs, 8u);
+  // The image fetch takes up to 4 s, and machines are up already.
+  for (const auto wait_s : waits_s) EXPECT_LT(wait_s, 8);
+  EXPECT_LT(run_until(20s, [&] { return cluster_.unfinished().empty(); }), 20s);
   cluster_.run(40s);
-  EXPECT_EQ(cluster_.up_controllers(), 3u);  // and when it has calmed down it is a member again
+  EXPECT_EQ(cluster_.up_controllers(), 3u);  // It is admitted again after it has stopped crashing.
 }
 
-// The timer for one that was put off kept the loss of another from being written down before it
-// fired.
-TEST_F(Restarts, OneThatIsPutOffHoldsUpNoOthersLoss) {
+// Guards against the rejoin backoff of one controller that delays the epoch in which another, lost
+// controller is removed.
+TEST_F(ControllerRestarts, RejoinBackoffDoesNotDelayTheRemovalOfAnotherController) {
   cluster_.run(10s);
   const auto leader = cluster_.leader();
   for (int i = 0; i < 7; ++i) {
@@ -195,28 +205,30 @@
   }
   const auto lost = cluster_.node((leader + 2) % 3)->membership().self();
   cluster_.crash((leader + 2) % 3, 60s);
-  EXPECT_LT(until(20s, [&] { return !cluster_.node(leader)->membership().is_member(lost); }), 9s);
+  EXPECT_LT(run_until(20s, [&] { return !cluster_.node(leader)->membership().is_member(lost); }),
+            9s);
 }
 
-// Its end was written on the condition of the record that it had been taken up from, which no
-// longer stood: never.
-TEST_F(Restarts, AJobWhoseRecordWasWrittenAnewByHandStillEnds) {
+// Guards against a job that never ends because its final record is written on the condition that
+// the job's record still has the revision with which its owner loaded it.
+TEST_F(ControllerRestarts, AJobWithAManuallyEditedRecordStillEnds) {
   cluster_.run(10s);
   const auto uid = submit(false, 8, 10);
   cluster_.run(4s);
   cluster_.state().put("w/open/" + uid, "by hand");
-  EXPECT_LT(until(90s, [&] { return cluster_.unfinished().empty(); }), 90s);
+  EXPECT_LT(run_until(90s, [&] { return cluster_.unfinished().empty(); }), 90s);
 }
 
-/// A record that cannot be read, of each family, written between two runs.
-class DecodeErrors : public Restarts,
-                     public testing::WithParamInterface<std::pair<const char*, const char*>> {
+/// An undecodable record of each kind is written while all controllers restart, and again while
+/// they run.
+class UndecodableRecords : public ControllerRestarts,
+                           public testing::WithParamInterface<std::pair<const char*, const char*>> {
  protected:
-  DecodeErrors() : Restarts(4) {}
+  UndecodableRecords() : ControllerRestarts(4) {}
 };
-TEST_P(DecodeErrors, AllGoOn) {
+TEST_P(UndecodableRecords, StopNeitherControllersNorJobs) {
   std::vector<std::string> services{submit(true, 4), submit(true, 4, 0, "blue")};
-  until(60s, [&] { return replicas(services) == 8; });
+  run_until(60s, [&] { return replicas(services) == 8; });
   submit(false, 20, 5);
   cluster_.run(3s);
   const auto [key, value] = GetParam();
@@ -225,16 +237,16 @@
   cluster_.state().put(key, wire::json::parse(value));
   cluster_.run(2s);
   cluster_.state().put(std::string(key) + (std::string(key).ends_with('/') ? "x" : ""),
-                       wire::json::parse(value));  // and while they run
+                       wire::json::parse(value));
   cluster_.run(5s);
-  const auto late = submit(true, 2);
-  // An unreadable record of machines holds up what was taken over for a grant and a lease: who may
-  // run what is not known before.
-  EXPECT_LT(until(120s,
-                  [&] {
-                    return cluster_.unfinished().empty() && replicas(services) == 8 &&
-                           cluster_.running()[late] == 2;
-                  }),
+  const auto late_service = submit(true, 2);
+  // An undecodable machine record delays the takeover of jobs by a store lease and a worker lease,
+  // because the tasks that may still run are unknown until then.
+  EXPECT_LT(run_until(120s,
+                      [&] {
+                        return cluster_.unfinished().empty() && replicas(services) == 8 &&
+                               cluster_.running()[late_service] == 2;
+                      }),
             120s)
       << cluster_.unfinished().size() << " jobs left, " << replicas(services) << " replicas";
   EXPECT_EQ(cluster_.up_controllers(), 3u);
@@ -244,7 +256,7 @@
   EXPECT_EQ(cluster_.up_controllers(), 3u);
 }
 INSTANTIATE_TEST_SUITE_P(
-    Families, DecodeErrors,
+    RecordKinds, UndecodableRecords,
     testing::Values(
         std::pair("w/generation", "7"),
         std::pair("w/generation", R"({"leader":"node-0@1","members":[3]})"),
--- a/tests/restart/single_controller_test.cpp
+++ b/tests/restart/single_controller_test.cpp
@@ -1,5 +1,5 @@
-// One controller left with all machines of a fleet half as large again as the largest known, and
-// with all users.
+// A single remaining controller that serves all machines and users of a large fleet, its connection
+// limits, and the service levels that it measures.
 #include <cstdio>
 #include <queue>
 #include <random>
@@ -15,7 +15,7 @@
 namespace {
 using namespace simulation;
 
-TEST(Alone, With1840MachinesNoLeaseIsLostAndUsersAreAnswered) {
+TEST(SingleController, With1840MachinesNoLeaseIsLostAndUsersAreAnswered) {
   spdlog::set_level(spdlog::level::off);
   SimulatedWorld world(3);
   SimulatedCluster cluster(world, fleet_settings(), {.per_pool = 154, .scripted = true});
@@ -25,158 +25,170 @@
     submit(cluster,
            plain(cluster, i < 19, i < 19 ? 75 : 180, i % 2 ? "red" : "blue", i < 19 ? 0 : 200, 8));
   cluster.run(110s);
-  ASSERT_GT(cluster.up_machines(), 1780u);  // some never come up
+  ASSERT_GT(cluster.up_machines(), 1780u);  // A few machines never boot.
   const auto lost_before = cluster.leases_lost();
-  const auto left = (cluster.leader() + 1) % 3;
+  const auto remaining = (cluster.leader() + 1) % 3;
   for (std::size_t i = 0; i < 3; ++i)
-    if (i != left) cluster.crash(i, 90s);
-  cluster.run(12s);  // the verdict, and the machines that come over
-  std::size_t slow = 0, refused = 0;
+    if (i != remaining) cluster.crash(i, 90s);
+  cluster.run(12s);  // The failures are detected and the machines reconnect.
+  std::size_t slow = 0, rejected = 0;
   for (int i = 0; i < 390; ++i) {
     int status = 0;
-    const auto asked = world.now();
+    const auto sent = world.now();
     Time answered{};
-    cluster.ask(left, {"GET", "/submissions/wk-900" + std::to_string(100 + i), {}},
+    cluster.ask(remaining, {"GET", "/submissions/wk-900" + std::to_string(100 + i), {}},
                 [&](net::HttpResponse r) {
                   status = r.status;
                   answered = world.now();
                 });
     cluster.run(200ms);
-    slow += status == 0 || answered - asked > 200ms;
-    refused += status == 503;
+    slow += status == 0 || answered - sent > 200ms;
+    rejected += status == 503;
   }
   EXPECT_EQ(cluster.leases_lost(), lost_before);
   EXPECT_EQ(slow, 0u);
-  EXPECT_LT(refused, 4u);
+  EXPECT_LT(rejected, 4u);
   EXPECT_TRUE(cluster.invariants().violations().empty());
   cluster.run(20s);
   EXPECT_EQ(cluster.leases_lost(), lost_before);
 }
 
-/// Connections of a server that keeps to `Seats`, in steps of 10 ms: machines report every five
-/// seconds, users ask as they like.
+/// The load on a server that applies net::ConnectionLimits. Each machine sends a heartbeat every
+/// five seconds, and each user request opens a new connection.
 struct Traffic {
-  std::size_t machines, most;
-  double busy_share, users_per_s;
-  std::size_t silent_each_step = 0;  ///< connections that say nothing
+  std::size_t machines, max_connections;
+  double busy_fraction;  ///< fraction of the machines that run tasks
+  double user_requests_per_s;
+  std::size_t silent_connections_per_step = 0;  ///< new connections that send nothing
 };
-class Sockets : public testing::TestWithParam<Traffic> {};
-TEST_P(Sockets, NoMachineWithTasksIsEverShutOut) {
-  const auto t = GetParam();
-  const net::ConnectionLimits seats(t.most);
+/// The test simulates 30 s in steps of 10 ms.
+constexpr int kStepsPerSecond = 100;
+constexpr std::size_t kHeartbeatIntervalSteps = 500;
+constexpr std::size_t kSteps = 3000;
+constexpr std::size_t kMaxUserConnections = 4000;
+class ConnectionLimitsUnderLoad : public testing::TestWithParam<Traffic> {};
+TEST_P(ConnectionLimitsUnderLoad, AMachineWithTasksCanAlwaysConnect) {
+  const auto traffic = GetParam();
+  const net::ConnectionLimits limits(traffic.max_connections);
   std::mt19937_64 random(5);
   std::uniform_real_distribution<double> chance(0, 1);
-  struct Link {
-    net::ConnectionClass seat = net::ConnectionClass::Unknown;
+  struct Connection {
+    net::ConnectionClass connection_class = net::ConnectionClass::Unknown;
     bool open = false;
     std::size_t idle_since = 0;
   };
-  std::vector<Link> machine(t.machines);
-  std::deque<Link> user;
-  std::size_t open = 0, shut_out = 0, torn = 0, turned_away = 0, asked = 0, answered_busy = 0;
-  auto close_one =
-      [&] {  // an idle connection makes room, as the server chooses; false: the newcomer goes
-        Link* victim = nullptr;
-        auto consider = [&](Link& l) {
-          if (l.open && !net::ConnectionLimits::keep(l.seat) &&
-              (!victim ||
-               std::pair(net::ConnectionLimits::rank(l.seat), l.idle_since) <
-                   std::pair(net::ConnectionLimits::rank(victim->seat), victim->idle_since)))
-            victim = &l;
-        };
-        for (auto& l : user) consider(l);
-        for (auto& l : machine) consider(l);
-        if (!victim) return false;
-        torn += victim->seat == net::ConnectionClass::BusyMachine;
-        victim->open = false;
-        --open;
-        return true;
-      };
-  for (std::size_t step = 0; step < 3000; ++step) {
-    auto serve = [&](Link& l, net::ConnectionClass seat) {
-      if (!l.open) {
-        l.open = true;
-        if (seats.full(++open) && !close_one()) {
-          l.open = false;
-          --open;
+  std::vector<Connection> machine_connections(traffic.machines);
+  std::deque<Connection> user_connections;
+  std::size_t open_connections = 0, rejected = 0, closed_busy = 0, rejected_users = 0,
+              user_requests = 0, busy_heartbeats = 0;
+  // Closes the idle connection that the server would choose; returns false if there is none.
+  auto close_idle_connection = [&] {
+    Connection* victim = nullptr;
+    auto consider = [&](Connection& connection) {
+      if (connection.open && !net::ConnectionLimits::keep(connection.connection_class) &&
+          (!victim || std::pair(net::ConnectionLimits::rank(connection.connection_class),
+                                connection.idle_since) <
+                          std::pair(net::ConnectionLimits::rank(victim->connection_class),
+                                    victim->idle_since)))
+        victim = &connection;
+    };
+    for (auto& connection : user_connections) consider(connection);
+    for (auto& connection : machine_connections) consider(connection);
+    if (!victim) return false;
+    closed_busy += victim->connection_class == net::ConnectionClass::BusyMachine;
+    victim->open = false;
+    --open_connections;
+    return true;
+  };
+  for (std::size_t step = 0; step < kSteps; ++step) {
+    auto serve = [&](Connection& connection, net::ConnectionClass connection_class) {
+      if (!connection.open) {
+        connection.open = true;
+        if (limits.full(++open_connections) && !close_idle_connection()) {
+          connection.open = false;
+          --open_connections;
           return false;
         }
       }
-      l.seat = seat;
-      l.idle_since = step;
-      if (seats.close_after(seat, open)) {
-        l.open = false;
-        --open;
+      connection.connection_class = connection_class;
+      connection.idle_since = step;
+      if (limits.close_after(connection_class, open_connections)) {
+        connection.open = false;
+        --open_connections;
       }
       return true;
     };
-    for (std::size_t m = step % 500; m < t.machines; m += 500) {
-      const bool busy = static_cast<double>(m) < t.busy_share * static_cast<double>(t.machines);
-      const bool got = serve(
-          machine[m], busy ? net::ConnectionClass::BusyMachine : net::ConnectionClass::Machine);
-      shut_out += !got;
-      answered_busy += got && busy;
+    for (std::size_t machine = step % kHeartbeatIntervalSteps; machine < traffic.machines;
+         machine += kHeartbeatIntervalSteps) {
+      const bool busy = static_cast<double>(machine) <
+                        traffic.busy_fraction * static_cast<double>(traffic.machines);
+      const bool accepted =
+          serve(machine_connections[machine],
+                busy ? net::ConnectionClass::BusyMachine : net::ConnectionClass::Machine);
+      rejected += !accepted;
+      busy_heartbeats += accepted && busy;
     }
-    for (std::size_t i = 0; i < t.silent_each_step; ++i) {
-      user.push_back({net::ConnectionClass::Unknown, true, step});
-      shut_out += seats.full(++open) && !close_one();
+    for (std::size_t i = 0; i < traffic.silent_connections_per_step; ++i) {
+      user_connections.push_back({net::ConnectionClass::Unknown, true, step});
+      rejected += limits.full(++open_connections) && !close_idle_connection();
     }
-    for (double n = t.users_per_s / 100; n > 0 && chance(random) < n; n -= 1) {
-      ++asked;
-      turned_away += seats.turn_away(open + 1);
-      user.emplace_back();
-      if (!serve(user.back(), net::ConnectionClass::User)) ++turned_away;
-      if (user.size() > 4000) user.pop_front();
+    for (double n = traffic.user_requests_per_s / kStepsPerSecond; n > 0 && chance(random) < n;
+         n -= 1) {
+      ++user_requests;
+      rejected_users += limits.turn_away(open_connections + 1);
+      user_connections.emplace_back();
+      if (!serve(user_connections.back(), net::ConnectionClass::User)) ++rejected_users;
+      if (user_connections.size() > kMaxUserConnections) user_connections.pop_front();
     }
-    ASSERT_LE(open, t.most);
+    ASSERT_LE(open_connections, traffic.max_connections);
   }
-  EXPECT_EQ(shut_out, 0u);
-  EXPECT_EQ(torn, 0u);
-  EXPECT_GT(answered_busy, 0u);
-  EXPECT_EQ(t.silent_each_step == 0 ? turned_away : 0, 0u)
-      << "of " << asked;  // closing after the answer suffices
+  EXPECT_EQ(rejected, 0u);
+  EXPECT_EQ(closed_busy, 0u);
+  EXPECT_GT(busy_heartbeats, 0u);
+  EXPECT_EQ(traffic.silent_connections_per_step == 0 ? rejected_users : 0, 0u)
+      << "of " << user_requests << " user requests";
 }
-INSTANTIATE_TEST_SUITE_P(Sizes, Sockets,
+INSTANTIATE_TEST_SUITE_P(Sizes, ConnectionLimitsUnderLoad,
                          testing::Values(Traffic{1840, 1262, 1.0, 120},
                                          Traffic{1840, 1262, 0.3, 300},
                                          Traffic{5000, 1262, 0.9, 60},
                                          Traffic{1840, 1262, 0.9, 60, 10}));
 
-// A class of which half is unserved is named, what its users took back is not, and old troubles
-// leave the window.
-TEST(ServedShare, CountsWhatWasDueAndForgetsWithTheWindow) {
+// An underserved class is reported. Cancelled jobs do not count, and neither do shortfalls that are
+// older than the window.
+TEST(SloAttainment, CountsDueTasksWithinTheWindow) {
   using diagnostics::SloAttainment;
   SloAttainment attainment;
   const net::WallTime t{1'000'000s};
-  auto see = [&](const std::string& uid, const char* cls, std::uint32_t done, net::WallTime now,
-                 bool service = false, std::uint32_t running = 0) {
-    attainment.observe(uid, {cls, "red", service, 100, t + 60s}, done, done, running, now);
+  auto observe = [&](const std::string& uid, const char* class_name, std::uint32_t done,
+                     net::WallTime now, bool service = false, std::uint32_t running = 0) {
+    attainment.observe(uid, {class_name, "red", service, 100, t + 60s}, done, done, running, now);
   };
-  see("a", "arrays", 0, t);
+  observe("a", "arrays", 0, t);
   attainment.advance_window(t);
-  EXPECT_TRUE(attainment.classes().empty()) << "asked for just now: nothing is due";
-  see("a", "arrays", 20, t + 61s);
-  see("b", "arrays", 100, t + 61s);
-  see("c", "other", 100, t + 61s);
+  EXPECT_TRUE(attainment.classes().empty()) << "no task is due yet";
+  observe("a", "arrays", 20, t + 61s);
+  observe("b", "arrays", 100, t + 61s);
+  observe("c", "other", 100, t + 61s);
   attainment.advance_window(t + 61s);
   EXPECT_DOUBLE_EQ(*attainment.classes().at("arrays").window.served_fraction(), 0.6);
   EXPECT_TRUE(attainment.underserved_classes().empty());
-  see("d", "arrays", 0, t + 70s);
-  see("e", "arrays", 0, t + 70s);
+  observe("d", "arrays", 0, t + 70s);
+  observe("e", "arrays", 0, t + 70s);
   attainment.advance_window(t + 70s);
   EXPECT_DOUBLE_EQ(*attainment.classes().at("arrays").window.served_fraction(), 0.3);
   EXPECT_EQ(attainment.underserved_classes(), std::set<std::string>{"arrays"});
-  attainment.job_ended("d", true, t + 71s);  // taken back
+  attainment.job_ended("d", true, t + 71s);  // Cancelled.
   attainment.job_ended("e", true, t + 71s);
-  see("a", "arrays", 100, t + 100s);  // late
+  observe("a", "arrays", 100, t + 100s);  // After the deadline.
   attainment.advance_window(t + 100s);
   EXPECT_DOUBLE_EQ(*attainment.classes().at("arrays").window.served_fraction(), 1);
   EXPECT_DOUBLE_EQ(attainment.classes().at("arrays").total.done_in_time, 120);
   EXPECT_DOUBLE_EQ(attainment.teams().at("red").total.requested, 300);
-  // Replica time from the time by which they should be up.
-  see("s", "service", 0, t + 60s, true, 0);
-  see("s", "service", 0, t + 80s, true, 25);
-  see("s", "service", 0, t + 100s, true, 75);
+  // Replica time counts from the deadline by which the replicas must run.
+  observe("s", "service", 0, t + 60s, true, 0);
+  observe("s", "service", 0, t + 80s, true, 25);
+  observe("s", "service", 0, t + 100s, true, 75);
   attainment.advance_window(t + 100s);
   EXPECT_DOUBLE_EQ(*attainment.classes().at("service").window.served_fraction(), 0.5);
   attainment.job_ended("s", true, t + 101s);
