--- a/bench/golden/record_golden.cpp
+++ b/bench/golden/record_golden.cpp
@@ -115,7 +115,7 @@
                      {"spec", wire::to_json(spec)}});
   for (const auto& k : state.content()) {
     lines.push_back(
-        {{"key", k.key}, {"value", k.value}, {"stamp", k.mod_revision}, {"granted", k.granted}});
+        {{"key", k.key}, {"value", k.value}, {"stamp", k.mod_revision}, {"granted", k.leased}});
     ++counts[prefix_of_key(k.key)];
   }
   write_lines(to / kStoreFile, lines);
