--- a/tests/simulation/simulation_constants.hpp
+++ b/tests/simulation/simulation_constants.hpp
@@ -14,8 +14,7 @@
 inline const SimulatedMachineType& machine_type(const std::string& name) {
   return name == kMachineTypes[0].name ? kMachineTypes[0] : kMachineTypes[1];
 }
-/// The age, in seconds, up to which the cloud's machine list may be stale according to the
-/// settings.
+/// Mean age, in seconds, of the machine lists that the cloud returns. They are up to twice as old.
 inline constexpr double kListLagS = 3;
 /// How long a worker waits for the answer to a heartbeat.
 inline constexpr auto kHeartbeatTimeout = 4s;
