--- a/src/app/controller_supervisor.hpp
+++ b/src/app/controller_supervisor.hpp
@@ -9,9 +9,10 @@
   ControllerSupervisor(net::Runtime& runtime, const wire::Settings& settings)
       : settings_(settings),
         metrics_(settings.operators.enabled ? std::make_unique<operator_api::Metrics>() : nullptr),
-        measured_(metrics_ ? std::make_unique<operator_api::MeasuredRuntime>(
-                                 runtime, *metrics_, settings.state, settings.cloud)
-                           : nullptr),
+        measured_(metrics_
+                      ? std::make_unique<operator_api::MeasuredRuntime>(
+                            runtime, *metrics_, settings.store_endpoint, settings.cloud_endpoint)
+                      : nullptr),
         runtime_(measured_ ? *measured_ : runtime) {
     renew();
   }
--- a/src/app/process.cpp
+++ b/src/app/process.cpp
@@ -26,12 +26,12 @@
                   return respond({503, R"({"error":"no room"})", kCrowdedRetry, {}});
                 controller_->serve(request, std::move(respond));
               }),
-      users_(runtime_.loop(), settings.serve_on, kUserBacklog),
-      peers_(runtime_.loop(), settings.peers_on, kPeerBacklog) {
-  auto links =
-      std::make_unique<net::PeerLinks>(runtime_.loop(), settings.others, [this](wire::json m) {
-        if (controller_) controller_->from_peer(m);
-      });
+      users_(runtime_.loop(), settings.client_listen_endpoint, kUserBacklog),
+      peers_(runtime_.loop(), settings.peer_listen_endpoint, kPeerBacklog) {
+  auto links = std::make_unique<net::PeerLinks>(runtime_.loop(), settings.peer_endpoints,
+                                                [this](wire::json m) {
+                                                  if (controller_) controller_->from_peer(m);
+                                                });
   links_ = links.get();
   runtime_.use_links(std::move(links));
   bind(users_, "serve_on", [this](uv_stream_t* s) { server_.accept(s); });
@@ -46,7 +46,7 @@
     uv_stop(runtime_.loop());
   };
   try {
-    listener.bind(net::to_duration(settings_.start.bind_patience), runtime_.random(),
+    listener.bind(net::to_duration(settings_.start.bind_timeout), runtime_.random(),
                   {[this] { on_bound(); }, gave_up, std::move(connection)});
   } catch (const net::BadAddress& e) {
     throw BadSettings(std::string(field) + ": " + e.what());
--- a/src/app/scoped_runtime.hpp
+++ b/src/app/scoped_runtime.hpp
@@ -25,7 +25,7 @@
                   if (alive.lock()) done(std::move(r));
                 });
   }
-  net::Duration busy() const override { return inner_.busy(); }
+  net::Duration busy_time() const override { return inner_.busy_time(); }
   void send_peer(const std::string& label, const wire::json& message) override {
     inner_.send_peer(label, message);
   }
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -69,18 +69,18 @@
   wire::Settings s;
   s.label = top.text("label");
   s.zone = top.text("domain");
-  s.serve_on = endpoint(top, "serve_on");
-  s.peers_on = endpoint(top, "back");
+  s.client_listen_endpoint = endpoint(top, "serve_on");
+  s.peer_listen_endpoint = endpoint(top, "back");
   if (!top.at("others").is_array()) throw BadSettings("others: must be a list");
   for (const auto& o : top.at("others")) {
     const Fields other(o, "others");
-    s.others[other.text("label")] = endpoint(other, "endpoint");
+    s.peer_endpoints[other.text("label")] = endpoint(other, "endpoint");
   }
   const auto outside = top.in("outside");
-  s.cloud = endpoint(outside, "cloud");
-  s.state = endpoint(outside, "state");
+  s.cloud_endpoint = endpoint(outside, "cloud");
+  s.store_endpoint = endpoint(outside, "state");
   const auto params = top.in("settings");
-  s.size = static_cast<std::uint32_t>(params.number("size", 1));
+  s.controller_count = static_cast<std::uint32_t>(params.number("size", 1));
   if (!params.at("zones").is_array()) throw BadSettings("settings.zones: must be a list");
   for (const auto& z : params.at("zones")) {
     if (!z.is_string()) throw BadSettings("settings.zones: must be texts");
@@ -110,15 +110,15 @@
   if (s.cancel_timeout < s.worker_lease * wire::kClockDriftFactor + kLeastGap)
     throw BadSettings("settings.workers.cancel_s: must be at least 4 s above lease_s");
   const auto state = params.in("state");
-  s.state_rps = state.number("rps", 0, false);
-  s.state_write_rps = state.number("write_rps", 0, false);
-  s.value_kb = state.number("value_kb", 0, false);
-  s.txn_ops = static_cast<std::uint32_t>(state.number("txn_ops", 2));
+  s.store_requests_per_s = state.number("rps", 0, false);
+  s.store_writes_per_s = state.number("write_rps", 0, false);
+  s.max_value_kib = state.number("value_kb", 0, false);
+  s.max_txn_ops = static_cast<std::uint32_t>(state.number("txn_ops", 2));
   const auto cloud = params.in("cloud");
-  s.cloud_rps = cloud.number("rps", 0, false);
-  s.list_lag = Seconds(cloud.number("list_lag_s", 0));
+  s.cloud_requests_per_s = cloud.number("rps", 0, false);
+  s.machine_list_lag = Seconds(cloud.number("list_lag_s", 0));
   s.max_connections = static_cast<std::uint32_t>(params.in("limits").number("max_connections", 16));
-  s.skew = Seconds(params.number_or("skew_ms", 0) / 1000);
+  s.max_clock_skew = Seconds(params.number_or("skew_ms", 0) / 1000);
   return s;
 }
 
--- a/src/cloud/autoscaler.cpp
+++ b/src/cloud/autoscaler.cpp
@@ -86,16 +86,18 @@
 bool Autoscaler::knows_all_launches() const {
   const bool had_predecessor = !registry_.registrations().empty() ||
                                membership_.leader_since_epoch() > membership_.epoch().number;
-  // The cloud's listing lags by up to `list_lag`; after that it includes the launches of the
-  // previous leader.
-  return !had_predecessor || runtime_.now() - leading_since_ > net::to_duration(settings_.list_lag);
+  // The cloud's listing lags by up to `machine_list_lag`; after that it includes the launches of
+  // the previous leader.
+  return !had_predecessor ||
+         runtime_.now() - leading_since_ > net::to_duration(settings_.machine_list_lag);
 }
 
 void Autoscaler::report_machines_without_heartbeat(const std::vector<wire::ListedMachine>& listed) {
   // After a restart of all controllers, each machine attaches only with its next heartbeat, and no
   // failover completes before every machine has attached. The listing has the machines' addresses,
   // so that the controllers can contact them without waiting for that heartbeat.
-  if (!settings_.start.ask_unheard || runtime_.now() - leading_since_ > silent_after(settings_))
+  if (!settings_.start.query_machines_after_restart ||
+      runtime_.now() - leading_since_ > silent_after(settings_))
     return;
   std::vector<std::pair<std::string, std::string>> without_heartbeat;
   for (const auto& machine : listed)
--- a/src/cloud/capacity_planner.cpp
+++ b/src/cloud/capacity_planner.cpp
@@ -83,7 +83,8 @@
 
 void CapacityPlanner::add_deadline_overflow(Demand& demand, const Capacity& supply, net::Time now) {
   auto& wanted = demand.capacity;
-  const double overflow_cpus = (wanted.deadline_cpus - supply.spot_cpus) * tuning_.overflow;
+  const double overflow_cpus =
+      (wanted.deadline_cpus - supply.spot_cpus) * tuning_.on_demand_fraction;
   if (overflow_cpus <= 0 || !spot_unavailable_)
     shortfall_since_ = {};
   else if (shortfall_since_ == net::Time{})
--- a/src/cloud/capacity_reader.cpp
+++ b/src/cloud/capacity_reader.cpp
@@ -51,7 +51,8 @@
 bool CapacityReader::is_time_critical(const wire::JobSpec& spec) const {
   // Best-effort work and jobs without an expected finish do not justify the price of on-demand
   // machines.
-  return !settings_.yields(spec) && (spec.due || settings_.expects_finish(spec.workload));
+  return !settings_.is_best_effort(spec) &&
+         (spec.due || settings_.has_finish_objective(spec.workload));
 }
 
 Capacity CapacityReader::supply() const {
--- a/src/cloud/machine_deregistration.cpp
+++ b/src/cloud/machine_deregistration.cpp
@@ -90,8 +90,9 @@
 std::map<std::string, MachineDeregistration::Record> MachineDeregistration::remaining_records(
     const std::vector<std::string>& machines) const {
   const std::size_t limit =
-      is_failover_blocked() ? settings_.txn_ops
-                            : std::min<std::size_t>(settings_.txn_ops, kMaxRecordsWithoutFailover);
+      is_failover_blocked()
+          ? settings_.max_txn_ops
+          : std::min<std::size_t>(settings_.max_txn_ops, kMaxRecordsWithoutFailover);
   std::map<std::string, Record> out;
   for (const auto& name : machines) {
     if (out.size() >= limit) break;
@@ -109,7 +110,7 @@
   Transaction out;
   for (const auto& [record, record_machines] : records) {
     const auto* entry = watch_cache_.find(record);
-    if (!entry || out.writes.size() >= settings_.txn_ops) continue;
+    if (!entry || out.writes.size() >= settings_.max_txn_ops) continue;
     // A changed record may name machines that this controller does not know. The comparison makes
     // the transaction fail then, and the next one starts from the changed record.
     out.compares.push_back({record, entry->mod_revision});
--- a/src/cloud/machine_inventory.cpp
+++ b/src/cloud/machine_inventory.cpp
@@ -74,7 +74,8 @@
   // nevertheless: only the cloud's confirmation proves that it is gone.
   for (const auto& [name, machine] : machines_)
     if (machine.listed && !names.contains(name)) mark_for_termination(name);
-  const auto oldest = now - kTerminatedRetentionListLags * net::to_duration(settings_.list_lag) -
+  const auto oldest = now -
+                      kTerminatedRetentionListLags * net::to_duration(settings_.machine_list_lag) -
                       kTerminatedRetentionMargin;
   std::erase_if(terminated_, [&](const auto& entry) { return entry.second < oldest; });
 }
@@ -82,7 +83,7 @@
 void MachineInventory::apply_listed(const wire::ListedMachine& listed, net::Time now) {
   const auto [it, is_new] = machines_.try_emplace(listed.name);
   auto& machine = it->second;
-  if (is_new) machine.launched_at = now - net::to_duration(listed.held);
+  if (is_new) machine.launched_at = now - net::to_duration(listed.rented_for);
   machine.type = listed.type;
   machine.zone = listed.zone;
   machine.spot = listed.spot;
--- a/src/cloud/scale_out.cpp
+++ b/src/cloud/scale_out.cpp
@@ -85,7 +85,7 @@
   for (const auto& zone : settings_.zones) {
     const auto tasks = job.zones.find(zone);
     const bool has_tasks = tasks != job.zones.end();
-    const bool full = spec.spread && has_tasks && tasks->second >= spec.zone_cap();
+    const bool full = spec.spread && has_tasks && tasks->second >= spec.max_tasks_per_zone();
     const bool is_elsewhere = spec.one_zone && !job.zones.empty() && !has_tasks;
     if (!full && !is_elsewhere && (!spec.zone || *spec.zone == zone)) out.insert(zone);
   }
--- a/src/cluster/leader_election.cpp
+++ b/src/cluster/leader_election.cpp
@@ -38,7 +38,7 @@
     if (!keys::match_prefix(it->first, keys::kMembers, label)) break;
     // Ignores member keys of labels that are not in the settings, and member records that cannot be
     // decoded.
-    if (label != settings_.label && !settings_.others.contains(label)) continue;
+    if (label != settings_.label && !settings_.peer_endpoints.contains(label)) continue;
     if (read_incarnation(it->second.value))
       out.insert(ControllerId(label, it->second.mod_revision.value()));
   }
@@ -94,7 +94,7 @@
   const auto now = runtime_.now();
   const auto& current = epoch_.epoch();
   const auto proposal = rejoin_backoff_.decide(current.members, lease_keeper_.self(), elected_at_,
-                                               settings_.size, now);
+                                               settings_.controller_count, now);
   if (proposal.reconsider_at) reconsider_at(*proposal.reconsider_at, now);
   if (proposal.wait) return;
   const bool in_force = epoch_.readable() && current.leader == lease_keeper_.self() &&
--- a/src/cluster/lease_keeper.cpp
+++ b/src/cluster/lease_keeper.cpp
@@ -103,7 +103,7 @@
   if (lost_ || !previous_incarnation_fenced_ || lease_ == store::LeaseId{}) return;
   const auto key = keys::member(settings_.label);
   client_.txn(store::Priority::Critical, {{key, store::kAbsent}},
-              {{key, member_record(incarnation_, settings_.serve_on), lease_}},
+              {{key, member_record(incarnation_, settings_.client_listen_endpoint), lease_}},
               [this](const store::TxnResult& result) { on_registration(result); });
 }
 
--- a/src/diagnostics/capacity_diagnosis.cpp
+++ b/src/diagnostics/capacity_diagnosis.cpp
@@ -37,7 +37,7 @@
                  const std::map<std::string, std::uint32_t>& zones) {
   const auto found = zones.find(zone);
   const auto tasks_here = found == zones.end() ? 0 : found->second;
-  if (spec.spread && tasks_here + 1 > spec.zone_cap()) return false;
+  if (spec.spread && tasks_here + 1 > spec.max_tasks_per_zone()) return false;
   if (!spec.one_zone || tasks_here > 0) return true;
   return std::all_of(zones.begin(), zones.end(),
                      [](const auto& entry) { return entry.second == 0; });
@@ -58,7 +58,7 @@
   shape.zone = spec.zone;
   shape.types = spec.types;
   shape.rank = spec.rank;
-  shape.best_effort = settings_.yields(spec);
+  shape.best_effort = settings_.is_best_effort(spec);
   shape.is_long = is_long;
   return shape;
 }
--- a/src/drains/drain_controller.cpp
+++ b/src/drains/drain_controller.cpp
@@ -78,7 +78,8 @@
   return std::any_of(drains.begin(), drains.end(), [&](const auto& entry) {
     const auto& drain = entry.second;
     return drain.covers(status.heartbeat.machine, status.heartbeat.zone) &&
-           runtime_.wall() - drain.requested_at > net::to_duration(settings_.drains.patience);
+           runtime_.wall() - drain.requested_at >
+               net::to_duration(settings_.drains.no_checkpoint_grace_period);
   });
 }
 
@@ -119,7 +120,7 @@
     return job == job_owner_.jobs().end() ? kNoTasks : job->second->zones;
   };
   for (const auto& [task, eviction] : evictions_) out.moving_jobs.insert(task.first);
-  const std::size_t max_evictions = settings_.drains.moves;
+  const std::size_t max_evictions = settings_.drains.max_moving_tasks;
   out.max_evictions = max_evictions > evictions_.size() ? max_evictions - evictions_.size() : 0;
   return out;
 }
--- a/src/drains/eviction_plan.cpp
+++ b/src/drains/eviction_plan.cpp
@@ -35,7 +35,7 @@
     if (it == zones.end()) return 0;
     return it->second - (zone == from && it->second > 0 ? 1 : 0);
   };
-  if (spec.spread && count_without_task(to) + 1 > spec.zone_cap()) return false;
+  if (spec.spread && count_without_task(to) + 1 > spec.max_tasks_per_zone()) return false;
   // A task of a job that must be in one zone may change the zone only if no other task remains
   // there.
   return !spec.one_zone || std::all_of(zones.begin(), zones.end(), [&](const auto& zone) {
@@ -90,7 +90,7 @@
   /// The blocker that does not depend on free capacity elsewhere; empty if there is none.
   std::optional<EvictionBlocker> intrinsic_blocker(const TaskOnDrainedMachine& task) const {
     const auto& spec = *task.spec;
-    const bool has_checkpoints = spec.checkpoint_every.count() > 0;
+    const bool has_checkpoints = spec.checkpoint_interval.count() > 0;
     if (task.stopping) return EvictionBlocker::AlreadyStopping;
     if (!task.reachable) return EvictionBlocker::Unreachable;
     if (!spec.service && !has_checkpoints && !task.patience_expired)
--- a/src/jobs/completion_log.cpp
+++ b/src/jobs/completion_log.cpp
@@ -43,7 +43,8 @@
 }
 
 void CompletionLog::write(const std::vector<BitmapChunk>& chunks, std::function<void(bool)> done) {
-  const auto max_bytes = static_cast<std::size_t>(settings_.value_kb * 1024 * kMaxRecordFraction);
+  const auto max_bytes =
+      static_cast<std::size_t>(settings_.max_value_kib * 1024 * kMaxRecordFraction);
   const auto records = encode_completion_records(chunks, max_bytes);
   if (outcome_unknown_) {
     reread_own_records([done = std::move(done)] { done(false); });
@@ -73,7 +74,8 @@
     auto& record = update.resulting_records[n];
     const std::string text = n < records.size() ? records[n] : kEmptyCompletionRecord;
     if (record.text == text) continue;
-    if (update.writes.size() >= settings_.txn_ops || bytes + text.size() > kMaxTransactionBytes) {
+    if (update.writes.size() >= settings_.max_txn_ops ||
+        bytes + text.size() > kMaxTransactionBytes) {
       update.complete = false;
       break;
     }
@@ -175,7 +177,7 @@
   std::vector<store::Operation> removals;
   std::vector<store::Compare> compares;
   for (const auto& [key, mod_revision] : departed_owner_records_) {
-    if (removals.size() >= settings_.txn_ops / 2) break;
+    if (removals.size() >= settings_.max_txn_ops / 2) break;
     removals.push_back({key, std::nullopt});
     compares.push_back({key, mod_revision});
   }
--- a/src/jobs/heartbeat_reconciler.cpp
+++ b/src/jobs/heartbeat_reconciler.cpp
@@ -20,12 +20,12 @@
 /// Whether the exit counts as a failure of the task, as opposed to a refusal by the machine or a
 /// stop.
 bool is_failure(wire::ExitCause cause) {
-  return cause == wire::ExitCause::Error || cause == wire::ExitCause::NoSuch ||
+  return cause == wire::ExitCause::Error || cause == wire::ExitCause::UnknownTask ||
          cause == wire::ExitCause::Done;
 }
 
 bool is_refusal(wire::ExitCause cause) {
-  return cause == wire::ExitCause::Full || cause == wire::ExitCause::InUse;
+  return cause == wire::ExitCause::NoRoom || cause == wire::ExitCause::DuplicateAttempt;
 }
 }  // namespace
 
--- a/src/jobs/long_task_placement.cpp
+++ b/src/jobs/long_task_placement.cpp
@@ -25,7 +25,7 @@
                                                              MachineSlots& slots) const {
   const auto& spec = job.record.spec;
   const auto need = Resources::of(spec);
-  const bool best_effort = settings_.yields(spec);
+  const bool best_effort = settings_.is_best_effort(spec);
   std::vector<MachineSlot*> out;
   for (auto& slot : slots)
     if (slot.free.fits(need) && (!best_effort || accepts_best_effort(slot, spec)) &&
@@ -43,7 +43,7 @@
   if (!short_task_shortage_ && (heartbeat.spot || !spec.spot)) return true;
   return std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(), [&](const auto& task) {
     const auto* other = task.exited() ? nullptr : job_directory_.find(task.uid);
-    return other && other->is_long && !settings_.yields(other->spec);
+    return other && other->is_long && !settings_.is_best_effort(other->spec);
   });
 }
 
@@ -95,7 +95,8 @@
     if (slot->short_partition || (!zone.empty() && slot_zone != zone)) continue;
     out.push_back(slot);
     auto& in_zone = tasks_by_zone[slot_zone];
-    for (auto free = slot->free; free.fits(need) && in_zone < spec.zone_cap(); free -= need) {
+    for (auto free = slot->free; free.fits(need) && in_zone < spec.max_tasks_per_zone();
+         free -= need) {
       ++tasks_with_room;
       ++in_zone;
     }
--- a/src/jobs/long_task_scheduler.cpp
+++ b/src/jobs/long_task_scheduler.cpp
@@ -120,15 +120,15 @@
   const auto& jobs = job_directory_.all();
   return std::any_of(jobs.begin(), jobs.end(), [&](const auto& entry) {
     const auto& [uid, job] = entry;
-    return !job.ended && settings_.yields(job.spec) && registry_.running_tasks(uid) > 0;
+    return !job.ended && settings_.is_best_effort(job.spec) && registry_.running_tasks(uid) > 0;
   });
 }
 
 void LongTaskScheduler::place(const std::vector<WaitingJob>& waiting, net::Time now) {
   auto free = slots();
-  const bool best_effort_waits =
-      std::any_of(waiting.begin(), waiting.end(),
-                  [&](const auto& entry) { return settings_.yields(entry.job->record.spec); });
+  const bool best_effort_waits = std::any_of(
+      waiting.begin(), waiting.end(),
+      [&](const auto& entry) { return settings_.is_best_effort(entry.job->record.spec); });
   const bool best_effort_runs = best_effort_task_runs();
   placement_.begin_run(best_effort_waits && short_task_capacity_.missing_cpus() > 0);
   // If one task finds no room, other tasks of the same shape are not tried in this run.
@@ -147,7 +147,7 @@
       }
     }
     const bool may_preempt =
-        spec.rank >= wire::Rank::Urgent || (best_effort_runs && !settings_.yields(spec));
+        spec.rank >= wire::Rank::Urgent || (best_effort_runs && !settings_.is_best_effort(spec));
     if (may_preempt && !preemption_.is_backing_off(spec.uid))
       preemption_.place_all(*job, free, now);
   }
--- a/src/jobs/preemption.cpp
+++ b/src/jobs/preemption.cpp
@@ -94,10 +94,12 @@
   // again.
   if (victim.gang) return false;
   // Urgent jobs preempt all jobs of lower rank; other jobs preempt only best-effort ones.
-  if (victim.rank < job.rank && (job.rank >= wire::Rank::Urgent || settings_.yields(victim)))
+  if (victim.rank < job.rank &&
+      (job.rank >= wire::Rank::Urgent || settings_.is_best_effort(victim)))
     return true;
   // Tasks of teams without a guarantee are preempted so that other teams get their guaranteed
   // resources.
-  return settings_.guest(victim.team) && !settings_.guest(job.team) && guarantees_.covers(job);
+  return settings_.is_best_effort_team(victim.team) && !settings_.is_best_effort_team(job.team) &&
+         guarantees_.covers(job);
 }
 }  // namespace limemast::jobs
--- a/src/jobs/scheduling_order.cpp
+++ b/src/jobs/scheduling_order.cpp
@@ -41,12 +41,12 @@
                                  TeamGuarantees& guarantees, net::WallTime now) {
   const auto& spec = job.record.spec;
   const auto deadline = reachable_deadline(job.record, settings, now);
-  const bool has_deadline = spec.due || settings.expects_finish(spec.workload);
+  const bool has_deadline = spec.due || settings.has_finish_objective(spec.workload);
   const int rank = static_cast<int>(spec.rank);
   SchedulingOrder order;
   order.urgent_rank = spec.rank >= wire::Rank::Urgent ? -rank : 0;
   order.last_resort = last_resort_step(spec, underserved_classes, guarantees);
-  order.best_effort = settings.yields(spec);
+  order.best_effort = settings.is_best_effort(spec);
   // Jobs that can no longer meet their deadline come after those that can. Otherwise every job
   // would be late in a backlog.
   order.deadline_missed = has_deadline && !deadline;
--- a/src/jobs/short_task_capacity.cpp
+++ b/src/jobs/short_task_capacity.cpp
@@ -15,7 +15,7 @@
   double missing = 0;
   const auto now = runtime_.wall();
   for (const auto& [uid, job] : job_directory_.all()) {
-    if (job.ended || job.is_long || settings_.yields(job.spec) ||
+    if (job.ended || job.is_long || settings_.is_best_effort(job.spec) ||
         now - job.submitted > kMaxWaitForCapacity)
       continue;
     const auto waiting = std::min(job.pending_tasks.value_or(job.spec.tasks),
@@ -55,7 +55,7 @@
   for (const auto& task : machine_status.heartbeat.tasks) {
     const auto* job = long_job_of(task);
     if (!job) continue;
-    if (!settings_.yields(job->spec)) return std::nullopt;
+    if (!settings_.is_best_effort(job->spec)) return std::nullopt;
     ++out.long_tasks;
   }
   return out;
@@ -79,7 +79,7 @@
     missing -= job->spec.cpus;
     if (task.phase != wire::TaskPhase::Saving)
       job_owner_.command_worker(machine_status.heartbeat.machine, task, wire::CommandKind::Stop,
-                                job->spec.save_cost);
+                                job->spec.checkpoint_duration);
   }
   return missing;
 }
--- a/src/jobs/slo_monitor.cpp
+++ b/src/jobs/slo_monitor.cpp
@@ -86,7 +86,7 @@
   const auto wall = runtime_.wall();
   for (const auto& [uid, job] : job_directory_.all()) observe(uid, job, wall);
   slo_attainment_.advance_window(wall);
-  registry_.set_underserved_classes(settings_.tuning.last_resort
+  registry_.set_underserved_classes(settings_.tuning.prioritize_underserved
                                         ? slo_attainment_.underserved_classes()
                                         : std::set<std::string>());
   warn_about_underserved();
--- a/src/jobs/task_dispatcher.cpp
+++ b/src/jobs/task_dispatcher.cpp
@@ -25,7 +25,7 @@
   if (!spec.spread) return true;
   const auto it = job.zones.find(zone);
   const auto assigned = it == job.zones.end() ? 0 : it->second;
-  return assigned + 1 <= spec.zone_cap();
+  return assigned + 1 <= spec.max_tasks_per_zone();
 }
 
 messages::StartTask start_message(const Job& job, std::uint32_t index,
--- a/src/machines/command_dispatcher.cpp
+++ b/src/machines/command_dispatcher.cpp
@@ -27,7 +27,7 @@
 
 bool CommandDispatcher::is_recent(messages::SentAt sent_at) const {
   return context_.runtime.wall() - sent_at <
-         kMaxMessageAge + 2 * net::to_duration(context_.settings.skew);
+         kMaxMessageAge + 2 * net::to_duration(context_.settings.max_clock_skew);
 }
 
 void CommandDispatcher::on_start_task(const cluster::ControllerId& from,
--- a/src/machines/peer_loads.cpp
+++ b/src/machines/peer_loads.cpp
@@ -17,7 +17,7 @@
 
 double PeerLoads::measure_own_load() {
   const auto now = context_.runtime.now();
-  const auto busy = context_.runtime.busy();
+  const auto busy = context_.runtime.busy_time();
   const auto passed = now - std::exchange(last_measured_at_, now);
   const auto worked = busy - std::exchange(last_busy_, busy);
   if (passed <= net::Duration::zero()) return 0;
@@ -37,7 +37,7 @@
 }
 
 void PeerLoads::plan_redirects(std::size_t attached_machines, double own_load) {
-  if (!context_.settings.overload.balance) return;
+  if (!context_.settings.overload.rebalance_machines) return;
   const auto& self = context_.membership.self();
   std::map<cluster::ControllerId, double> loads{{self, own_load}};
   for (const auto& [controller, report] : reports_)
--- a/src/messages/machines.cpp
+++ b/src/messages/machines.cpp
@@ -4,7 +4,7 @@
 
 namespace limemast::messages {
 void to_json(wire::json& json, const ForwardHeartbeat& message) {
-  json = {{"report", message.heartbeat ? wire::to_peer(*message.heartbeat) : wire::json()},
+  json = {{"report", message.heartbeat ? wire::to_peer_json(*message.heartbeat) : wire::json()},
           {"hello", message.sent_by_worker}};
 }
 
--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -1,13 +1,13 @@
 #pragma once
-// Addresses of sockets in text form.
+// Parsing of socket addresses.
 #include <charconv>
 #include <string>
 
 #include <uv.h>
 
 namespace limemast::net {
-/// Reads "10.0.0.1:8080". Addresses are IPv4 numbers; names are never looked up. False if it is not
-/// of this form, and `out` is then unspecified.
+/// Parses an IPv4 address with a port, such as "10.0.0.1:8080"; host names are not resolved.
+/// Returns false if the text has another form; `out` is then unspecified.
 inline bool parse_address(const std::string& text, sockaddr_in& out) {
   constexpr int kMaxPort = 65535;
   const auto colon = text.rfind(':');
--- a/src/net/connection_limits.hpp
+++ b/src/net/connection_limits.hpp
@@ -1,50 +1,51 @@
 #pragma once
-// Which connections a server closes or refuses when its sockets run short.
+// Which connections an HTTP server closes or refuses when it runs out of sockets.
 #include <cstddef>
 
 #include "net/runtime.hpp"
 
 namespace limemast::net {
-/// Decides which connections go when a server's sockets run short. A single controller may have to
-/// serve all machines, and they are more than its sockets; a machine that cannot connect loses its
-/// lease. Pure logic.
+/// Decides which connections a server closes or refuses when it runs out of sockets. A single
+/// controller may have to serve more machines than it has sockets, and a machine that cannot
+/// connect loses its lease. Has no side effects.
 ///
-/// In this order, as a growing share of the sockets is in use:
-/// 1. users' connections are closed after their next answer, and idle ones are closed for new
-/// connections;
-/// 2. those of machines without tasks are closed after their next answer, then all machines': they
-/// connect again for their next heartbeat, and no heartbeat is lost by that. As many sockets as
-/// heartbeats are under way at a time are then enough;
-/// 3. users are refused at once;
-/// 4. a machine with tasks is never shut out: no idle connection of one is closed, and a new
-/// connection is refused only if no other can be closed.
+/// As the fraction of used sockets grows, the measures are, in this order:
+/// 1. users' connections are closed after their next response, and idle ones are closed to admit
+/// new connections;
+/// 2. connections of machines without tasks are closed after their next response, and then those of
+/// all machines. A machine reconnects for its next heartbeat, so no heartbeat is lost, and the
+/// server needs only as many sockets as heartbeats are in progress at one time;
+/// 3. users' requests are refused;
+/// 4. machines with tasks are never refused while another connection can be closed: their idle
+/// connections stay open, and a new connection is closed only if no idle one may be closed for it.
 ///
 /// Covered by the test Sockets.NoMachineWithTasksIsEverShutOut.
 class ConnectionLimits {
  public:
-  /// `most`: sockets for connections of this server.
-  explicit ConnectionLimits(std::size_t most) : most_(most) {}
-  /// Whether the connection is closed after the answer that is about to be sent. `open`: open
-  /// connections, this one included.
-  bool close_after(ConnectionClass connection_class, std::size_t open) const {
+  /// `max_connections`: the number of sockets for connections of this server.
+  explicit ConnectionLimits(std::size_t max_connections) : max_connections_(max_connections) {}
+  /// Whether the connection is closed after the response that is about to be sent. `open` counts
+  /// all open connections, including this one.
+  bool should_close_after(ConnectionClass connection_class, std::size_t open) const {
     switch (connection_class) {
       case ConnectionClass::Unknown:
       case ConnectionClass::User:
-        return above(open, kCloseUsersAbove);
+        return exceeds_share(open, kCloseUsersAbove);
       case ConnectionClass::Machine:
-        return above(open, kCloseMachinesAbove);
+        return exceeds_share(open, kCloseMachinesAbove);
       case ConnectionClass::BusyMachine:
-        return above(open, kCloseBusyMachinesAbove);
+        return exceeds_share(open, kCloseBusyMachinesAbove);
     }
     return false;
   }
-  /// Whether users are told to come again later.
-  bool turn_away(std::size_t open) const { return above(open, kRefuseUsersAbove); }
-  /// Whether a connection has to be closed, an idle one or the newest.
-  bool full(std::size_t open) const { return open > most_; }
-  /// Of two idle connections that may be closed, the one with the lower rank goes first; see
-  /// keep().
-  static int rank(ConnectionClass connection_class) {
+  /// Whether requests of users are refused.
+  bool should_refuse_users(std::size_t open) const {
+    return exceeds_share(open, kRefuseUsersAbove);
+  }
+  /// Whether a connection must be closed: an idle one or the newest.
+  bool over_limit(std::size_t open) const { return open > max_connections_; }
+  /// Idle connections with a lower value are closed first; see is_never_closed_when_idle().
+  static int closing_order(ConnectionClass connection_class) {
     switch (connection_class) {
       case ConnectionClass::Machine:
         return 2;
@@ -55,20 +56,20 @@
     }
   }
   /// Whether connections of this class are never closed while idle.
-  static bool keep(ConnectionClass connection_class) {
+  static bool is_never_closed_when_idle(ConnectionClass connection_class) {
     return connection_class == ConnectionClass::BusyMachine;
   }
 
  private:
-  // Shares of the sockets in use above which each measure begins.
+  // Fractions of used sockets above which each measure applies.
   static constexpr double kCloseUsersAbove = 0.7;
   static constexpr double kCloseMachinesAbove = 0.8;
   static constexpr double kCloseBusyMachinesAbove = 0.85;
   static constexpr double kRefuseUsersAbove = 0.95;
 
-  bool above(std::size_t open, double share) const {
-    return static_cast<double>(open) > share * static_cast<double>(most_);
+  bool exceeds_share(std::size_t open, double share) const {
+    return static_cast<double>(open) > share * static_cast<double>(max_connections_);
   }
-  std::size_t most_;
+  std::size_t max_connections_;
 };
 }  // namespace limemast::net
--- a/src/net/handles.hpp
+++ b/src/net/handles.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Ownership of libuv's handles, and the casts between its types.
+// Ownership of libuv handles, and casts between libuv's types.
 #include <chrono>
 #include <cstdint>
 #include <memory>
@@ -17,7 +17,7 @@
   return reinterpret_cast<const sockaddr*>(&address);
 }
 
-/// Closes a handle and frees it once libuv has closed it: not before the loop's next turn.
+/// Closes a handle and frees it in libuv's close callback, in a later iteration of the loop.
 struct HandleCloser {
   template <class Handle>
   void operator()(Handle* handle) const {
@@ -26,11 +26,12 @@
     });
   }
 };
-/// An initialised handle of a loop that runs on after the owner has gone.
+/// Owns an initialised handle. The loop must run until the handle is closed, after the owner has
+/// been destroyed.
 template <class Handle>
 using UniqueHandle = std::unique_ptr<Handle, HandleCloser>;
 
-/// A handle of the loop; `init` is libuv's function for its kind, which must not fail.
+/// Creates a handle of the loop with libuv's `init` function for its type, which must not fail.
 template <class Handle>
 UniqueHandle<Handle> make_handle(uv_loop_t* loop, int (*init)(uv_loop_t*, Handle*)) {
   auto handle = std::make_unique<Handle>();
@@ -38,7 +39,7 @@
   return UniqueHandle<Handle>(handle.release());
 }
 
-/// A delay as libuv takes it, rounded up.
+/// Converts a delay for libuv, rounded up.
 inline std::uint64_t to_uv_milliseconds(std::chrono::nanoseconds delay) {
   return static_cast<std::uint64_t>(std::chrono::ceil<std::chrono::milliseconds>(delay).count());
 }
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -12,10 +12,10 @@
 constexpr std::size_t kMaxIdlePerEndpoint = 4;
 constexpr std::size_t kMaxResponseBytes = 16UL * 1024 * 1024;
 constexpr unsigned kReadBufferBytes = 16 * 1024;
-/// A time-out that fires later than this shows that the process has not run in between.
-constexpr std::uint64_t kStalledMs = 500;
-/// For how long the sockets are then read before the time-out counts.
-constexpr std::uint64_t kReadFirstMs = 20;
+/// A timer that fires this late shows that the process did not run in the meantime.
+constexpr std::uint64_t kStallThresholdMs = 500;
+/// Time that a request then gets to read its response from the socket.
+constexpr std::uint64_t kReadGraceMs = 20;
 
 std::string to_text(const HttpRequest& request, const Endpoint& to) {
   std::string text = request.method + " " + request.path + " HTTP/1.1\r\nHost: " + to + "\r\n";
@@ -25,8 +25,8 @@
 }
 }  // namespace
 
-/// One connection, used for one request after the other. It keeps itself alive until libuv has
-/// closed both of its handles.
+/// A connection, which serves one request at a time. It owns itself until libuv has closed both of
+/// its handles.
 class HttpClient::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(HttpClient& client, Endpoint to) : client_(&client), to_(std::move(to)) {}
@@ -74,14 +74,14 @@
     uv_close(as_handle(&socket_), closed);
     uv_close(as_handle(&timer_), closed);
   }
-  /// The client goes: nobody is told how the request ends.
+  /// Closes the connection without calling `done_`, when the client is being destroyed.
   void abandon() {
     client_ = nullptr;
     done_ = nullptr;
     close();
   }
   const Endpoint& to() const { return to_; }
-  /// Its place among the client's idle ones, while it is idle.
+  /// Position in the client's `idle_by_age_` while the connection is idle.
   std::list<Connection*>::iterator idle_at;
 
  private:
@@ -106,7 +106,7 @@
     result_.maybe_sent = true;
     uv_buf_t buffer =
         uv_buf_init(request_text_.data(), static_cast<unsigned>(request_text_.size()));
-    // Most requests fit into the socket's buffer: no write request is needed then.
+    // Most requests fit into the socket's send buffer and need no asynchronous write.
     const int rc = uv_try_write(as_stream(&socket_), &buffer, 1);
     const std::size_t sent = rc > 0 ? static_cast<std::size_t>(rc) : 0;
     if (sent == request_text_.size()) return;
@@ -122,11 +122,11 @@
     if (closing_ || n == 0) return;
     const auto self = shared_from_this();
     if (n < 0) {
-      // The end of the connection may be the end of the response.
+      // Without a Content-Length, the end of the stream ends the response.
       if (done_ && n == UV_EOF) http_parser_execute(&parser_, &parser_callbacks(), data, 0);
       return fail();
     }
-    if (!done_) return close();  // nothing was requested
+    if (!done_) return close();  // data without a pending request
     http_parser_execute(&parser_, &parser_callbacks(), data, static_cast<std::size_t>(n));
     const auto error = HTTP_PARSER_ERRNO(&parser_);
     if (!closing_ && error != HPE_OK && error != HPE_PAUSED) fail();
@@ -155,7 +155,7 @@
     if (!done_) return;
     uv_timer_stop(&timer_);
     result_.status = parser_.status_code;
-    // `done` may start the next request on this connection: its own state is put in order first.
+    // `done` may start the next request on this connection, so its state is reset first.
     const auto done = std::exchange(done_, nullptr);
     auto result = std::exchange(result_, {});
     if (http_should_keep_alive(&parser_))
@@ -165,14 +165,15 @@
     done(std::move(result));
   }
 
-  /// If the process has not run for a while, the answer may have been in the socket for long: the
-  /// loop reads before a new timer fires, so that a lease renewed in time does not count as
-  /// unanswered. Covered by HttpClientLoopback.AnswerThatCameInTimeIsReadBeforeItsTimeout.
+  /// If the process did not run for a while, a response may have arrived in time and still be
+  /// unread. The request then gets a short extension, in which the loop reads the socket. Otherwise
+  /// a lease that was renewed in time would count as not renewed. Covered by the test
+  /// HttpClientLoopback.ResponseReceivedInTimeIsReadBeforeTimeout.
   void on_timeout() {
     const auto late = uv_now(socket_.loop) - deadline_;
-    if (late <= kStalledMs) return fail();
-    deadline_ += late + kReadFirstMs;
-    uv_timer_start(&timer_, timer_.timer_cb, kReadFirstMs, 0);
+    if (late <= kStallThresholdMs) return fail();
+    deadline_ += late + kReadGraceMs;
+    uv_timer_start(&timer_, timer_.timer_cb, kReadGraceMs, 0);
   }
 
   void fail() {
@@ -185,20 +186,20 @@
     if (done) done(std::move(result));
   }
 
-  HttpClient* client_;  ///< nullptr once it has gone
+  HttpClient* client_;  ///< nullptr after its destruction has begun
   Endpoint to_;
   uv_tcp_t socket_{};
-  uv_timer_t timer_{};  ///< of the request under way
+  uv_timer_t timer_{};  ///< time-out of the pending request
   uv_connect_t connect_{};
   uv_write_t write_{};
   http_parser parser_{};
   std::unique_ptr<char[]> buffer_;
   std::string request_text_;
-  HttpResult result_;                     ///< as far as it has come
-  std::function<void(HttpResult)> done_;  ///< empty: no request is under way
+  HttpResult result_;                     ///< of the pending request, as far as received
+  std::function<void(HttpResult)> done_;  ///< empty: no request is pending
   std::shared_ptr<Connection> self_until_closed_;
   int open_handles_ = 0;
-  std::uint64_t deadline_ = 0;  ///< by the loop's clock, in milliseconds
+  std::uint64_t deadline_ = 0;  ///< milliseconds on the loop's clock
   bool connected_ = false;
   bool closing_ = false;
 };
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -10,20 +10,20 @@
 #include "net/runtime.hpp"
 
 namespace limemast::net {
-/// HTTP/1.1 client with a pool of kept-open connections per endpoint; one request at a time on
-/// each. When all that are allowed are open, the one idle for longest is closed for a new one: with
-/// more machines than sockets, none is cut off for good.
+/// HTTP/1.1 client with a pool of persistent connections per endpoint and one request at a time on
+/// each connection. At the connection limit, the least recently used idle connection is closed for
+/// a new one, so that every endpoint can be reached even if there are more endpoints than sockets.
 class HttpClient {
  public:
-  /// The loop must outlive the client and run on until its connections are closed.
+  /// The loop must outlive the client and run until the connections are closed.
   HttpClient(uv_loop_t* loop, std::size_t max_connections);
-  /// Requests under way end without a call of `done`.
+  /// Cancels pending requests without calling `done`.
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  /// Calls `done` once. Without a free connection, or if `to` is not an address, that is at once,
-  /// within this call, with status 0 and nothing sent.
+  /// Calls `done` once. If no connection is available or `to` is not a valid address, calls it
+  /// before this function returns, with status 0, and sends nothing.
   void request(const Endpoint& to, const HttpRequest& request, Duration timeout,
                std::function<void(HttpResult)> done);
 
@@ -31,7 +31,7 @@
 
  private:
   friend class Connection;
-  /// The connection has answered and can be used again.
+  /// Puts a connection whose request is complete back into the pool.
   void recycle(const std::shared_ptr<Connection>& connection);
   void remove_idle(Connection* connection);
   void remove(Connection* connection);
@@ -40,6 +40,6 @@
   std::size_t max_connections_;
   std::list<std::shared_ptr<Connection>> open_;
   std::map<Endpoint, std::vector<std::shared_ptr<Connection>>> idle_;
-  std::list<Connection*> idle_by_age_;  ///< all of `idle_`, the longest idle first
+  std::list<Connection*> idle_by_age_;  ///< all of `idle_`, longest idle time first
 };
 }  // namespace limemast::net
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -9,14 +9,15 @@
 namespace {
 constexpr std::size_t kMaxBodyBytes = 64UL * 1024;
 constexpr std::size_t kMaxPathBytes = 2048;
-/// A client that leaves more than this unread is disconnected.
+/// A connection with more unsent bytes than this is closed.
 constexpr std::size_t kMaxUnsentBytes = 256UL * 1024;
 constexpr std::size_t kReadBufferBytes = 64UL * 1024;
-/// A request must arrive whole within this time: a client that trickles bytes holds a socket no
-/// longer.
+/// Time-out for receiving a complete request, so that slow clients do not occupy sockets.
 constexpr Duration kRequestTimeout = 10s;
 constexpr Duration kIdleTimeout = 120s;
 constexpr Duration kSweepInterval = 2s;
+constexpr int kBadRequest = 400;
+constexpr int kPayloadTooLarge = 413;
 
 const char* reason_phrase(int status) {
   switch (status) {
@@ -61,7 +62,7 @@
 }
 }  // namespace
 
-/// One connection of a client. It keeps itself alive until libuv has closed its socket.
+/// A connection of a client. It owns itself until libuv has closed its socket.
 class HttpServer::Connection : public std::enable_shared_from_this<Connection> {
  public:
   explicit Connection(HttpServer& server) : server_(&server) {}
@@ -70,16 +71,17 @@
     uv_tcp_init(server_->loop_, &socket_);
     socket_.data = this;
     self_until_closed_ = shared_from_this();
-    ++server_->live_;
+    ++server_->live_connections_;
     if (uv_accept(listener, stream()) != 0) return false;
     uv_tcp_nodelay(&socket_, 1);
     http_parser_init(&parser_, HTTP_REQUEST);
     parser_.data = this;
-    touch();
+    record_activity();
     uv_read_start(
         stream(),
         [](uv_handle_t*, std::size_t, uv_buf_t* buffer) {
-          // One thread, and what is read is consumed before the next read.
+          // All connections share the buffer: there is one thread, and on_read() consumes the data
+          // at once.
           static char shared[kReadBufferBytes];
           *buffer = uv_buf_init(shared, sizeof shared);
         },
@@ -92,45 +94,46 @@
   void close() {
     if (closing_) return;
     closing_ = true;
-    if (server_) --server_->live_;
+    if (server_) --server_->live_connections_;
     uv_close(as_handle(&socket_), [](uv_handle_t* handle) {
       auto* self = static_cast<Connection*>(handle->data);
       if (self->server_) self->server_->open_.erase(self->open_at);
       self->self_until_closed_.reset();
     });
   }
-  /// The server goes.
+  /// Closes the connection when the server is being destroyed.
   void abandon() {
     server_ = nullptr;
     close();
   }
-  /// No request is arriving or waits for its answer.
+  /// Whether no request is being received or processed.
   bool idle() const { return !responding_ && !receiving_; }
   ConnectionClass connection_class() const { return connection_class_; }
   bool closing() const { return closing_; }
-  /// When a request last began, arrived or was answered: milliseconds by the loop's clock.
+  /// Last time that a request began, was complete or was answered: milliseconds on the loop's
+  /// clock.
   std::uint64_t last_activity() const { return last_activity_; }
-  /// Whether it waits for the client for too long.
+  /// Whether the time-out for the client's next request, or for the rest of it, has expired.
   bool stale(std::uint64_t now) const {
     const auto limit = to_uv_milliseconds(receiving_ ? kRequestTimeout : kIdleTimeout);
     return !responding_ && now - last_activity_ > limit;
   }
-  /// Its place among the server's connections.
+  /// Position in the server's `open_`.
   std::list<std::shared_ptr<Connection>>::iterator open_at;
 
  private:
   uv_stream_t* stream() { return as_stream(&socket_); }
-  void touch() { last_activity_ = uv_now(server_->loop_); }
+  void record_activity() { last_activity_ = uv_now(server_->loop_); }
 
   void on_read(ssize_t n, const char* data) {
     if (closing_ || n == 0) return;
     if (n < 0) return close();
-    if (responding_) return close();  // pipelined requests are not served
+    if (responding_) return close();  // pipelining is not supported
     const auto self = shared_from_this();
     http_parser_execute(&parser_, &parser_callbacks(), data, static_cast<std::size_t>(n));
     if (closing_) return;
-    if (too_large_) return refuse_and_close(413);
-    if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK) return refuse_and_close(400);
+    if (too_large_) return refuse_and_close(kPayloadTooLarge);
+    if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK) return refuse_and_close(kBadRequest);
   }
 
   static Connection& connection(http_parser* parser) {
@@ -154,47 +157,48 @@
       };
       callbacks.on_message_complete = [](http_parser* parser) {
         connection(parser).on_request();
-        return kGoOn;
+        return kContinue;
       };
       return callbacks;
     }();
     return kCallbacks;
   }
 
-  // What the parser's callbacks return.
-  static constexpr int kGoOn = 0;
-  static constexpr int kRefuse = 1;
-  /// Of on_headers(), where 1 means that there is no body.
-  static constexpr int kRefuseHeaders = -1;
+  // Return values of the parser's callbacks.
+  static constexpr int kContinue = 0;
+  static constexpr int kAbort = 1;
+  /// For on_headers(), where 1 would mean that the request has no body.
+  static constexpr int kAbortHeaders = -1;
 
   int on_begin() {
-    if (responding_) return kRefuse;
+    if (responding_) return kAbort;
     request_ = {};
     receiving_ = true;
-    touch();
-    return kGoOn;
+    record_activity();
+    return kContinue;
   }
   int on_url(const char* at, std::size_t n) {
-    if (request_.path.size() + n > kMaxPathBytes) return kRefuse;
+    if (request_.path.size() + n > kMaxPathBytes) return kAbort;
     request_.path.append(at, n);
-    return kGoOn;
+    return kContinue;
   }
   int on_headers() {
-    constexpr auto kNotGiven = ULLONG_MAX;
-    too_large_ = parser_.content_length != kNotGiven && parser_.content_length > kMaxBodyBytes;
-    return too_large_ ? kRefuseHeaders : kGoOn;
+    constexpr auto kNoContentLength = ULLONG_MAX;
+    too_large_ =
+        parser_.content_length != kNoContentLength && parser_.content_length > kMaxBodyBytes;
+    return too_large_ ? kAbortHeaders : kContinue;
   }
   int on_body(const char* at, std::size_t n) {
     too_large_ = request_.body.size() + n > kMaxBodyBytes;
-    if (too_large_) return kRefuse;
+    if (too_large_) return kAbort;
     request_.body.append(at, n);
-    return kGoOn;
+    return kContinue;
   }
 
   void on_request() {
     receiving_ = false;
     responding_ = true;
-    touch();
+    record_activity();
     keep_alive_ = http_should_keep_alive(&parser_);
     request_.method = http_method_str(static_cast<http_method>(parser_.method));
     server_->handler_(
@@ -203,15 +207,16 @@
           const auto self = weak.lock();
           if (self && self->responding_ && self->request_number_ == number) self->reply(response);
         },
-        server_->limits_.turn_away(server_->live_));
+        server_->limits_.should_refuse_users(server_->live_connections_));
   }
 
   void reply(const HttpResponse& response) {
     if (closing_) return;
     responding_ = false;
-    touch();
+    record_activity();
     connection_class_ = response.connection_class;
-    if (server_->limits_.close_after(connection_class_, server_->live_)) keep_alive_ = false;
+    if (server_->limits_.should_close_after(connection_class_, server_->live_connections_))
+      keep_alive_ = false;
     send(to_text(response, keep_alive_), !keep_alive_);
   }
 
@@ -232,7 +237,7 @@
     send_later(data.substr(sent), then_close);
   }
 
-  /// A write that libuv has taken: it holds the text and the connection until it is done.
+  /// An asynchronous write. It owns its data and keeps the connection alive until it completes.
   struct Write {
     uv_write_t request{};
     std::string data;
@@ -254,18 +259,18 @@
           if (status != 0 || done->then_close) done->connection->close();
         });
     if (rc != 0) return close();
-    (void)write.release();  // the callback takes it back
+    (void)write.release();  // the callback takes ownership
   }
 
-  HttpServer* server_;  ///< nullptr once it has gone
+  HttpServer* server_;  ///< nullptr after its destruction has begun
   uv_tcp_t socket_{};
   http_parser parser_{};
   HttpRequest request_;
   std::shared_ptr<Connection> self_until_closed_;
   std::uint64_t last_activity_ = 0;
-  std::uint64_t request_number_ = 0;  ///< a late call of an earlier request's responder is ignored
-  bool receiving_ = false;            ///< a request has begun and is not there whole
-  bool responding_ = false;           ///< a request waits for its answer
+  std::uint64_t request_number_ = 0;  ///< for responders of earlier requests, which are ignored
+  bool receiving_ = false;            ///< a request has begun and is incomplete
+  bool responding_ = false;           ///< a request is being processed
   bool keep_alive_ = true;
   bool too_large_ = false;
   ConnectionClass connection_class_ = ConnectionClass::Unknown;
@@ -292,28 +297,29 @@
   auto connection = std::make_shared<Connection>(*this);
   connection->open_at = open_.insert(open_.end(), connection);
   if (!connection->accept(listener)) return connection->close();
-  if (!limits_.full(live_)) return;
-  const auto victim = find_victim(connection);
-  (victim ? victim : connection)->close();
+  if (!limits_.over_limit(live_connections_)) return;
+  const auto to_close = find_connection_to_close(connection);
+  (to_close ? to_close : connection)->close();
 }
 
-// Of those that may go, the one idle for longest. One that came in the same turn of the loop may go
-// like an older one: otherwise a burst of silent connections keeps out all that come after it
-// (HttpServerLoopback.IdleConnectionsMakeRoom).
-std::shared_ptr<HttpServer::Connection> HttpServer::find_victim(
+// Of the connections in the lowest closing order, chooses the one that has been idle for longest.
+// Connections accepted in the same iteration of the loop are candidates too; otherwise a burst of
+// connections without requests would keep out all later ones. Covered by
+// HttpServerLoopback.IdleConnectionsAreClosedForNewOnes.
+std::shared_ptr<HttpServer::Connection> HttpServer::find_connection_to_close(
     const std::shared_ptr<Connection>& newest) const {
   const auto order = [](const Connection& connection) {
-    return std::pair(ConnectionLimits::rank(connection.connection_class()),
+    return std::pair(ConnectionLimits::closing_order(connection.connection_class()),
                      connection.last_activity());
   };
-  std::shared_ptr<Connection> victim;
+  std::shared_ptr<Connection> chosen;
   for (const auto& candidate : open_) {
     if (candidate->closing() || candidate == newest || !candidate->idle() ||
-        ConnectionLimits::keep(candidate->connection_class()))
+        ConnectionLimits::is_never_closed_when_idle(candidate->connection_class()))
       continue;
-    if (!victim || order(*candidate) < order(*victim)) victim = candidate;
+    if (!chosen || order(*candidate) < order(*chosen)) chosen = candidate;
   }
-  return victim;
+  return chosen;
 }
 
 void HttpServer::close_stale() {
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -9,33 +9,34 @@
 #include "net/handles.hpp"
 
 namespace limemast::net {
-/// HTTP/1.1 server. Bodies over 64 KiB get 413, malformed requests 400; when sockets run short,
-/// ConnectionLimits says which connections go.
+/// HTTP/1.1 server. Responds with 413 to bodies over 64 KiB and with 400 to malformed requests.
+/// When the server runs out of sockets, ConnectionLimits decides which connections it closes.
 class HttpServer {
  public:
-  /// `sockets_short`: so many sockets are in use that whoever can come again later should.
-  using Handler = std::function<void(const HttpRequest&, Responder, bool sockets_short)>;
-  /// The loop must outlive the server and run on until its connections are closed.
+  /// If `near_socket_limit` is true, requests of clients that can retry later should be refused.
+  using Handler = std::function<void(const HttpRequest&, Responder, bool near_socket_limit)>;
+  /// The loop must outlive the server and run until the connections are closed.
   HttpServer(uv_loop_t* loop, std::size_t max_connections, Handler handler);
-  /// Closes all connections; calls of their responders do nothing from then on.
+  /// Closes all connections; later calls of their responders have no effect.
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// Takes the connection that `listener` has.
+  /// Accepts the pending connection of `listener`.
   void accept(uv_stream_t* listener);
 
   class Connection;
 
  private:
   friend class Connection;
-  /// Which idle connection is closed for `newest`; nullptr: none may be.
-  std::shared_ptr<Connection> find_victim(const std::shared_ptr<Connection>& newest) const;
+  /// Returns the idle connection to close so that `newest` can stay; nullptr if there is none.
+  std::shared_ptr<Connection> find_connection_to_close(
+      const std::shared_ptr<Connection>& newest) const;
   void close_stale();
 
   uv_loop_t* loop_;
   ConnectionLimits limits_;
-  std::size_t live_ = 0;  ///< of `open_`, those that are not being closed
+  std::size_t live_connections_ = 0;  ///< connections in `open_` that are not closing
   Handler handler_;
   UniqueHandle<uv_timer_t> sweep_timer_;
   std::list<std::shared_ptr<Connection>> open_;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -10,11 +10,12 @@
 namespace limemast::net {
 namespace {
 using namespace std::chrono_literals;
-constexpr Duration kFirstPause = 20ms;
-constexpr Duration kLongestPause = 2s;
-/// Pauses are drawn from this range around their length, so that two processes do not keep step.
-constexpr double kLeastJitter = 0.75;
-constexpr double kMostJitter = 1.25;
+constexpr Duration kMinRetryDelay = 20ms;
+constexpr Duration kMaxRetryDelay = 2s;
+/// The retry delay is multiplied by a random factor in this range, so that two processes do not
+/// retry at the same times.
+constexpr double kMinJitterFactor = 0.75;
+constexpr double kMaxJitterFactor = 1.25;
 }  // namespace
 
 Listener::Listener(uv_loop_t* loop, Endpoint address, int backlog)
@@ -28,57 +29,59 @@
 void Listener::bind(Duration retry_for, std::mt19937_64& random, Events events) {
   events_ = std::move(events);
   random_ = &random;
-  give_up_at_ = Clock::now() + retry_for;
-  pause_ = kFirstPause;
+  retry_deadline_ = Clock::now() + retry_for;
+  retry_delay_ = kMinRetryDelay;
   try_to_bind();
 }
 
 void Listener::listen() {
-  listen_wanted_ = true;
+  listen_requested_ = true;
   if (!bound_) return;
   const int rc = uv_listen(as_stream(socket_.get()), backlog_, [](uv_stream_t* stream, int status) {
     if (status == 0) static_cast<Listener*>(stream->data)->events_.connection(stream);
   });
-  // Of two processes that have bound an address that may be reused, the first to listen has it.
+  // libuv binds with SO_REUSEADDR, so two processes can have bound the address; only the first that
+  // listens succeeds.
   if (rc != 0) retry_later(rc);
 }
 
 void Listener::try_to_bind() {
   sockaddr_in address{};
-  if (!parse_address(address_, address)) throw BadAddress("not an address: " + address_);
+  if (!parse_address(address_, address))
+    throw BadAddress("not an IPv4 address with a port: " + address_);
   socket_ = make_handle<uv_tcp_t>(loop_, uv_tcp_init);
   socket_->data = this;
   int rc = uv_tcp_bind(socket_.get(), as_sockaddr(address), 0);
   if (rc == UV_EADDRNOTAVAIL || rc == UV_EACCES || rc == UV_EINVAL)
     throw BadAddress("cannot listen on " + address_ + ": " + uv_strerror(rc));
-  // libuv reports "address in use" only to whoever listens. Asked for its own name, a socket that
-  // could not be bound has none.
+  // libuv defers the error "address in use" until uv_listen(), but uv_tcp_getsockname() returns it
+  // for a socket that could not be bound.
   sockaddr_in own{};
   int size = sizeof own;
   if (rc == 0) rc = uv_tcp_getsockname(socket_.get(), reinterpret_cast<sockaddr*>(&own), &size);
   if (rc == UV_EADDRINUSE) return retry_later(rc);
   bound_ = true;
-  if (listen_wanted_) listen();
+  if (listen_requested_) listen();
   if (bound_ && events_.bound) std::exchange(events_.bound, nullptr)();
 }
 
 void Listener::retry_later(int error) {
   bound_ = false;
-  if (Clock::now() >= give_up_at_)
-    return events_.gave_up("cannot listen on " + address_ + ": " + uv_strerror(error));
+  if (Clock::now() >= retry_deadline_)
+    return events_.failed("cannot listen on " + address_ + ": " + uv_strerror(error));
   if (!std::exchange(retry_logged_, true))
-    spdlog::warn("{} is still held ({}): trying again", address_, uv_strerror(error));
-  std::uniform_real_distribution<double> jitter(kLeastJitter, kMostJitter);
-  const auto wait = std::chrono::ceil<std::chrono::milliseconds>(pause_ * jitter(*random_));
-  pause_ = std::min(pause_ * 2, kLongestPause);
+    spdlog::warn("cannot listen on {} yet ({}); retrying", address_, uv_strerror(error));
+  std::uniform_real_distribution<double> jitter(kMinJitterFactor, kMaxJitterFactor);
+  const auto wait = std::chrono::ceil<std::chrono::milliseconds>(retry_delay_ * jitter(*random_));
+  retry_delay_ = std::min(retry_delay_ * 2, kMaxRetryDelay);
   uv_timer_start(
       retry_timer_.get(),
       [](uv_timer_t* timer) {
         auto* self = static_cast<Listener*>(timer->data);
         try {
           self->try_to_bind();
-        } catch (const BadAddress& e) {  // it was a good one a moment ago
-          self->events_.gave_up(e.what());
+        } catch (const BadAddress& e) {  // e.g. the host has lost the address in the meantime
+          self->events_.failed(e.what());
         }
       },
       to_uv_milliseconds(wait), 0);
--- a/src/net/peer_links.cpp
+++ b/src/net/peer_links.cpp
@@ -6,35 +6,36 @@
 namespace limemast::net {
 namespace {
 constexpr std::size_t kMaxFrameBytes = 1024UL * 1024;
-/// Messages that would make more than this wait on one link are dropped.
+/// Limit of the queue of one link; messages beyond it are dropped.
 constexpr std::size_t kMaxUnsentBytes = 512UL * 1024;
 constexpr std::size_t kReadBufferBytes = 64UL * 1024;
-/// A frame begins with its size, most significant byte first.
+/// Read buffer of a link on which no data is expected.
+constexpr std::size_t kIgnoredBytes = 256;
+/// A frame begins with its size as a big-endian integer.
 constexpr std::size_t kHeaderBytes = 4;
 constexpr unsigned kBitsPerByte = 8;
-/// The oldest is closed for a new one.
+/// Above this number, the oldest incoming link is closed when a new one is accepted.
 constexpr std::size_t kMaxIncoming = 16;
-/// A link on which nothing could be sent for this long is cut: it is closed, so that nothing old
-/// arrives late on it.
-constexpr Duration kStuckAfter = 4s;
-/// Between two attempts to open a link.
-constexpr Duration kReopenAfter = 300ms;
+/// A link on which no byte could be sent for this long is closed, so that outdated messages are not
+/// delivered later.
+constexpr Duration kStallTimeout = 4s;
+/// Minimum time between two attempts to open a link.
+constexpr Duration kMinReopenInterval = 300ms;
 
 void append_size(std::string& out, std::uint32_t size) {
   for (auto i = kHeaderBytes; i > 0; --i)
     out.push_back(static_cast<char>(size >> (i - 1) * kBitsPerByte));
 }
-/// `at`: where a whole header begins.
-std::uint32_t read_size(const std::string& in, std::size_t at) {
+/// Reads the size from the header at `offset`, which must be complete.
+std::uint32_t read_size(const std::string& in, std::size_t offset) {
   std::uint32_t size = 0;
   for (std::size_t i = 0; i < kHeaderBytes; ++i)
-    size = size << kBitsPerByte | static_cast<std::uint8_t>(in[at + i]);
+    size = size << kBitsPerByte | static_cast<std::uint8_t>(in[offset + i]);
   return size;
 }
 }  // namespace
 
-/// A link that this controller has opened to another. It keeps itself alive until libuv has closed
-/// its socket.
+/// A link that this controller has opened. It owns itself until libuv has closed its socket.
 class PeerLinks::Outgoing : public std::enable_shared_from_this<Outgoing> {
  public:
   Outgoing(uv_loop_t* loop, Endpoint to)
@@ -60,24 +61,25 @@
       static_cast<Outgoing*>(handle->data)->self_until_closed_.reset();
     });
   }
-  /// False if it is closed; closes it if it is stuck.
+  /// Closes the link if it makes no progress. Returns whether it is still open.
   bool usable() {
-    if (!closing_ && unsent() && uv_now(loop_) - last_progress_ > to_uv_milliseconds(kStuckAfter))
+    if (!closing_ && unsent() && uv_now(loop_) - last_progress_ > to_uv_milliseconds(kStallTimeout))
       close();
     return !closing_;
   }
   bool old_enough_to_reopen() const {
-    return uv_now(loop_) - opened_at_ > to_uv_milliseconds(kReopenAfter);
+    return uv_now(loop_) - opened_at_ > to_uv_milliseconds(kMinReopenInterval);
   }
 
-  /// The frame leaves with the next flush().
+  /// Queues the frame for the next flush().
   void send(const std::vector<std::uint8_t>& frame) {
     if (pending_.size() + frame.size() > kMaxUnsentBytes) return;
     if (!unsent()) last_progress_ = uv_now(loop_);
     append_size(pending_, static_cast<std::uint32_t>(frame.size()));
     pending_.append(reinterpret_cast<const char*>(frame.data()), frame.size());
   }
-  /// Called once a turn of the loop: all messages of the turn leave in one system call.
+  /// Called once per iteration of the loop, so that one system call sends all messages of the
+  /// iteration.
   void flush() {
     if (!connected_ || closing_ || writing_ || pending_.empty()) return;
     uv_buf_t buffer = uv_buf_init(pending_.data(), static_cast<unsigned>(pending_.size()));
@@ -102,11 +104,11 @@
   void on_connect(int status) {
     if (status != 0) return close();
     connected_ = true;
-    // Nothing is ever sent back; reading shows when the other side has gone.
+    // The other side sends no data on this link; reading only detects that it was closed.
     uv_read_start(
         as_stream(&socket_),
         [](uv_handle_t*, std::size_t, uv_buf_t* buffer) {
-          static char ignored[256];
+          static char ignored[kIgnoredBytes];
           *buffer = uv_buf_init(ignored, sizeof ignored);
         },
         [](uv_stream_t* stream, ssize_t n, const uv_buf_t*) {
@@ -124,21 +126,22 @@
 
   uv_loop_t* loop_;
   Endpoint to_;
-  std::uint64_t opened_at_;          ///< by the loop's clock, in milliseconds
-  std::uint64_t last_progress_ = 0;  ///< likewise: when bytes last left, or began to wait
+  std::uint64_t opened_at_;  ///< milliseconds on the loop's clock
+  /// Likewise; last time that bytes were sent, or queued while the queue was empty.
+  std::uint64_t last_progress_ = 0;
   uv_tcp_t socket_{};
   uv_connect_t connect_{};
   uv_write_t write_{};
-  std::string pending_;  ///< waits for the next flush()
-  std::string sending_;  ///< libuv writes it, while `writing_`
+  std::string pending_;  ///< queued for the next flush()
+  std::string sending_;  ///< buffer of the write in progress, while `writing_`
   std::shared_ptr<Outgoing> self_until_closed_;
   bool connected_ = false;
   bool writing_ = false;
   bool closing_ = false;
 };
 
-/// A link that another controller has opened to this one. It keeps itself alive until libuv has
-/// closed its socket.
+/// A link that another controller has opened to this one. It owns itself until libuv has closed its
+/// socket.
 class PeerLinks::Incoming : public std::enable_shared_from_this<Incoming> {
  public:
   explicit Incoming(PeerLinks& links) : links_(&links) {}
@@ -150,7 +153,8 @@
     uv_read_start(
         as_stream(&socket_),
         [](uv_handle_t*, std::size_t, uv_buf_t* buffer) {
-          // One thread, and what is read is consumed before the next read.
+          // All links share the buffer: there is one thread, and on_read() consumes the data at
+          // once.
           static char shared[kReadBufferBytes];
           *buffer = uv_buf_init(shared, sizeof shared);
         },
@@ -169,7 +173,7 @@
       self->self_until_closed_.reset();
     });
   }
-  /// The links' owner goes.
+  /// Closes the link when `links_` is being destroyed.
   void abandon() {
     links_ = nullptr;
     close();
@@ -181,40 +185,41 @@
     if (n < 0) return close();
     const auto self = shared_from_this();
     received_.append(data, static_cast<std::size_t>(n));
-    std::size_t at = 0;
-    while (!closing_ && links_ && received_.size() - at >= kHeaderBytes) {
-      const std::size_t size = read_size(received_, at);
+    std::size_t offset = 0;
+    while (!closing_ && links_ && received_.size() - offset >= kHeaderBytes) {
+      const std::size_t size = read_size(received_, offset);
       if (size > kMaxFrameBytes) return close();
-      if (received_.size() - at - kHeaderBytes < size) break;
-      if (!take_frame(at + kHeaderBytes, size)) return close();
-      at += kHeaderBytes + size;
+      if (received_.size() - offset - kHeaderBytes < size) break;
+      if (!handle_frame(offset + kHeaderBytes, size)) return close();
+      offset += kHeaderBytes + size;
     }
-    received_.erase(0, at);
+    received_.erase(0, offset);
   }
-  /// False if the frame is not a message: nothing after it can be trusted.
-  bool take_frame(std::size_t at, std::size_t size) {
+  /// Returns false if the frame is malformed; the rest of the stream is then not usable.
+  bool handle_frame(std::size_t offset, std::size_t size) {
     auto message =
-        wire::from_cbor(reinterpret_cast<const std::uint8_t*>(received_.data()) + at, size);
+        wire::from_cbor(reinterpret_cast<const std::uint8_t*>(received_.data()) + offset, size);
     if (!message || !message->is_object()) return false;
     try {
-      links_->receive_(std::move(*message));
+      links_->on_message_(std::move(*message));
     } catch (const wire::json::exception&) {
       return false;
     }
     return true;
   }
-  PeerLinks* links_;  ///< nullptr once it has gone
+  PeerLinks* links_;  ///< nullptr after its destruction has begun
   uv_tcp_t socket_{};
-  std::string received_;  ///< from the beginning of a frame
+  std::string received_;  ///< unprocessed bytes; starts at the beginning of a frame
   std::shared_ptr<Incoming> self_until_closed_;
   bool closing_ = false;
 };
 
-PeerLinks::PeerLinks(uv_loop_t* loop, std::map<std::string, Endpoint> others, Receive receive)
+PeerLinks::PeerLinks(uv_loop_t* loop, std::map<std::string, Endpoint> endpoints,
+                     MessageHandler on_message)
     : loop_(loop),
-      receive_(std::move(receive)),
+      on_message_(std::move(on_message)),
       flusher_(make_handle<uv_prepare_t>(loop, uv_prepare_init)),
-      others_(std::move(others)) {
+      endpoints_(std::move(endpoints)) {
   flusher_->data = this;
   uv_prepare_start(flusher_.get(), [](uv_prepare_t* prepare) {
     for (auto& [label, link] : static_cast<PeerLinks*>(prepare->data)->outgoing_) link->flush();
@@ -234,8 +239,8 @@
 }
 
 void PeerLinks::send(const std::string& label, const wire::json& message) {
-  const auto other = others_.find(label);
-  if (other == others_.end()) return;
+  const auto other = endpoints_.find(label);
+  if (other == endpoints_.end()) return;
   auto& link = outgoing_[label];
   if (!link || !link->usable()) {
     if (link && !link->old_enough_to_reopen()) return;
--- a/src/net/peer_links.hpp
+++ b/src/net/peer_links.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Links between controllers.
+// TCP connections between controllers.
 #include <list>
 #include <map>
 #include <memory>
@@ -10,23 +10,25 @@
 #include "net/runtime.hpp"
 
 namespace limemast::net {
-/// Links between controllers: length-prefixed CBOR frames over TCP. Each side sends on the link it
-/// opened itself; a frame that cannot be read closes its link. Nothing is sent again: what a closed
-/// link held is lost.
+/// Connections between controllers, which carry length-prefixed CBOR frames over TCP. Each side
+/// sends only on the link that it has opened. A malformed frame closes its link. Messages are not
+/// retransmitted: those that are queued on a link when it closes are lost.
 class PeerLinks {
  public:
-  /// Takes a message, a JSON object. If it throws wire::json::exception its link is closed.
-  using Receive = std::function<void(wire::json)>;
-  /// `others`: the labels and addresses of the controllers that messages can be sent to.
-  PeerLinks(uv_loop_t* loop, std::map<std::string, Endpoint> others, Receive receive);
+  /// Handles a message, which is a JSON object. If it throws wire::json::exception, the link is
+  /// closed.
+  using MessageHandler = std::function<void(wire::json)>;
+  /// `endpoints`: addresses of the other controllers, by label.
+  PeerLinks(uv_loop_t* loop, std::map<std::string, Endpoint> endpoints, MessageHandler on_message);
   ~PeerLinks();
   PeerLinks(const PeerLinks&) = delete;
   PeerLinks& operator=(const PeerLinks&) = delete;
 
-  /// Takes the connection that `listener` has.
+  /// Accepts the pending connection of `listener`.
   void accept(uv_stream_t* listener);
-  /// Sends at the end of the loop's turn, opening a link if there is none. Dropped if the label is
-  /// unknown, or if the link cannot be opened or is stuck.
+  /// Queues the message; it is sent before the loop polls next. Opens a link if there is none.
+  /// Drops the message if the label is unknown, the queue is full, or the link cannot be opened or
+  /// makes no progress.
   void send(const std::string& label, const wire::json& message);
 
   class Outgoing;
@@ -35,10 +37,10 @@
  private:
   friend class Incoming;
   uv_loop_t* loop_;
-  Receive receive_;
+  MessageHandler on_message_;
   UniqueHandle<uv_prepare_t> flusher_;
   std::map<std::string, std::shared_ptr<Outgoing>> outgoing_;
-  std::map<std::string, Endpoint> others_;
+  std::map<std::string, Endpoint> endpoints_;
   std::list<std::shared_ptr<Incoming>> incoming_;
 };
 }  // namespace limemast::net
--- a/src/net/token_bucket.hpp
+++ b/src/net/token_bucket.hpp
@@ -1,27 +1,28 @@
 #pragma once
-// Rate limit of requests to a service.
+// Client-side rate limit for requests to a service.
 #include <algorithm>
 
 #include "net/runtime.hpp"
 
 namespace limemast::net {
-/// Paces requests to a service that refuses what comes above its rate. Times must not go backwards.
+/// Limits the rate of requests to a service that refuses excess requests. Times passed to it must
+/// not decrease.
 class TokenBucket {
  public:
-  /// `per_second`: tokens that are refilled; above 0. `burst`: the most that are saved up, at least
-  /// one. The bucket is full at first.
+  /// `per_second` is the refill rate, above 0. `burst` is the capacity; values below 1 count as 1.
+  /// The bucket is full at first.
   TokenBucket(double per_second, double burst)
       : rate_(per_second), burst_(std::max(1.0, burst)), tokens_(burst_) {}
 
-  /// Takes the tokens, or none and returns false. An amount above the burst is let through from a
-  /// full bucket, which then runs a debt.
+  /// Takes `amount` tokens, or takes none and returns false. A full bucket also admits an amount
+  /// above the capacity; its balance is then negative.
   bool take(Time now, double amount) {
     refill(now);
     if (tokens_ + kTolerance < std::min(amount, burst_)) return false;
     tokens_ -= amount;
     return true;
   }
-  /// How long until take() of this amount succeeds if nothing else is taken.
+  /// Time until take() of this amount succeeds if no other tokens are taken.
   Duration wait_for(Time now, double amount) {
     refill(now);
     const double missing = std::min(amount, burst_) - tokens_;
@@ -33,16 +34,16 @@
     burst_ = std::max(1.0, burst);
     tokens_ = std::min(tokens_, burst_);
   }
-  /// Tokens a second.
+  /// Refill rate in tokens per second.
   double rate() const { return rate_; }
-  /// Empties the bucket: the service has refused a request.
-  void drain(Time now) {
+  /// Removes all tokens. Called when the service has refused a request.
+  void exhaust(Time now) {
     refill(now);
     tokens_ = std::min(tokens_, 0.0);
   }
 
  private:
-  /// Sums of refills are not exact.
+  /// take() ignores differences below this, since sums of refills are not exact.
   static constexpr double kTolerance = 1e-9;
 
   void refill(Time now) {
@@ -52,7 +53,7 @@
   }
   double rate_;
   double burst_;
-  double tokens_;  ///< below 0: a debt
+  double tokens_;  ///< negative after an amount above the capacity
   Time refilled_at_{};
 };
 }  // namespace limemast::net
--- a/src/net/uv_runtime.cpp
+++ b/src/net/uv_runtime.cpp
@@ -2,8 +2,8 @@
 
 namespace limemast::net {
 namespace {
-/// Rounds of posted calls in one turn of the loop.
-constexpr int kMaxRounds = 8;
+/// Maximum number of rounds of posted callbacks in one iteration of the loop.
+constexpr int kMaxPostedRounds = 8;
 }  // namespace
 
 UvRuntime::UvRuntime(std::size_t max_client_connections) {
@@ -32,14 +32,14 @@
   uv_loop_close(&loop_);
 }
 
-// One libuv timer serves the earliest of these timers: a handle each would cost a close callback
-// each.
-Runtime::TimerId UvRuntime::after(Duration delay, std::function<void()> fire) {
+// A single libuv timer is armed for the earliest entry. A libuv handle for each entry would need a
+// close callback for each.
+Runtime::TimerId UvRuntime::after(Duration delay, std::function<void()> callback) {
   const auto id = next_timer_++;
   const auto when = now() + std::max(delay, Duration::zero());
   due_at_.emplace(id, when);
   const bool earliest = timers_.empty() || when < timers_.begin()->first.first;
-  timers_.emplace(std::pair{when, id}, std::move(fire));
+  timers_.emplace(std::pair{when, id}, std::move(callback));
   if (earliest) arm_timer();
   return id;
 }
@@ -70,23 +70,23 @@
   arm_timer();
 }
 
-void UvRuntime::post(std::function<void()> fire) {
-  posted_.push_back(std::move(fire));
+void UvRuntime::post(std::function<void()> callback) {
+  posted_.push_back(std::move(callback));
   if (posted_.size() > 1) return;
-  // The idle handle keeps the loop from sleeping until the queue has been drained.
+  // The idle handle keeps the loop from blocking until the queue is empty.
   uv_idle_start(&idle_, [](uv_idle_t*) {});
   uv_check_start(&check_, [](uv_check_t* c) { static_cast<UvRuntime*>(c->data)->run_posted(); });
 }
 
-// What is posted posts more: a heartbeat is followed by four rounds of messages, and a look at the
-// sockets between two rounds costs more than most rounds do. The number of rounds is bounded, so
-// that they do not starve the sockets.
+// Posted callbacks post further ones: a heartbeat causes four rounds of messages. Several rounds
+// run in one iteration, because polling the sockets costs more than most rounds. Their number is
+// limited so that the sockets are not starved.
 void UvRuntime::run_posted() {
-  for (int round = 0; round < kMaxRounds && !posted_.empty(); ++round) {
+  for (int round = 0; round < kMaxPostedRounds && !posted_.empty(); ++round) {
     for (auto n = posted_.size(); n > 0; --n) {
-      const auto fire = std::move(posted_.front());
+      const auto callback = std::move(posted_.front());
       posted_.pop_front();
-      fire();
+      callback();
     }
   }
   if (!posted_.empty()) return;
@@ -94,7 +94,7 @@
   uv_check_stop(&check_);
 }
 
-Duration UvRuntime::busy() const {
+Duration UvRuntime::busy_time() const {
   return now() - started_at_ - std::chrono::nanoseconds(uv_metrics_idle_time(&loop_));
 }
 
--- a/src/operator_api/metrics.hpp
+++ b/src/operator_api/metrics.hpp
@@ -56,7 +56,7 @@
   void post(std::function<void()> fire) override { inner_.post(std::move(fire)); }
   void http(const net::Endpoint& to, net::HttpRequest request, net::Duration timeout,
             std::function<void(net::HttpResult)> done) override;
-  net::Duration busy() const override { return inner_.busy(); }
+  net::Duration busy_time() const override { return inner_.busy_time(); }
   void send_peer(const std::string& label, const wire::json& message) override {
     inner_.send_peer(label, message);
   }
--- a/src/operator_api/operator_api.cpp
+++ b/src/operator_api/operator_api.cpp
@@ -68,8 +68,8 @@
       drain_controller_(drain_controller),
       slo_attainment_(slo_attainment),
       metrics_(metrics),
-      history_(settings.operators.history_kept),
-      rate_(settings.operators.per_second, settings.operators.per_second) {
+      history_(settings.operators.history_size),
+      rate_(settings.operators.max_requests_per_s, settings.operators.max_requests_per_s) {
   if (!settings_.operators.enabled) return;
   message_bus_.on<messages::OperatorQuery>([this](const cluster::ControllerId& from,
                                                   const messages::OperatorQuery& query) {
@@ -90,7 +90,7 @@
   sample();
   tidy_drains();
   runtime_.after(kLogEvery, [this] { log_waits(); });
-  if (settings_.operators.rehearse_per_s > 0) rehearse();
+  if (settings_.operators.self_requests_per_s > 0) rehearse();
 }
 
 void OperatorApi::on_job(const std::string& uid) {
@@ -210,7 +210,7 @@
   if (others.empty()) return finish(id);
   for (const auto& controller : others)
     message_bus_.send(controller, messages::OperatorQuery{id, what, asked.at(controller)});
-  runtime_.after(net::to_duration(settings_.operators.patience), [this, id] { finish(id); });
+  runtime_.after(net::to_duration(settings_.operators.peer_timeout), [this, id] { finish(id); });
 }
 
 void OperatorApi::finish(std::uint64_t id) {
@@ -242,7 +242,7 @@
     out.push_back(std::move(entry));
   };
   add(settings_.label);
-  for (const auto& [label, endpoint] : settings_.others) add(label);
+  for (const auto& [label, endpoint] : settings_.peer_endpoints) add(label);
   return out;
 }
 
@@ -252,7 +252,7 @@
     if (!asked.is_array()) return out;
     std::size_t count = 0;
     for (const auto& uid : asked) {
-      if (!uid.is_string() || ++count > settings_.operators.page) break;
+      if (!uid.is_string() || ++count > settings_.operators.page_size) break;
       out[uid.get<std::string>()] = job_part(uid.get<std::string>());
     }
     return out;
@@ -287,7 +287,7 @@
     ++(machine_status.heartbeat.spot ? s.spot : s.ordinary);
   for (const auto& c : registry_.provisioning()) s.provisioning += c.count;
   history_.add(s);
-  runtime_.after(net::to_duration(settings_.operators.history_every), [this] { sample(); });
+  runtime_.after(net::to_duration(settings_.operators.history_interval), [this] { sample(); });
 }
 
 /// A machine that is gone is drained for good: the leader takes its record away.
@@ -305,7 +305,7 @@
                                            "drains", "history",  "metrics"};
   serve({"GET", kPrefix + kPaths[rehearsed_++ % std::size(kPaths)], {}},
         [](const net::HttpResponse&) {});
-  runtime_.after(net::to_duration(wire::Seconds(1 / settings_.operators.rehearse_per_s)),
+  runtime_.after(net::to_duration(wire::Seconds(1 / settings_.operators.self_requests_per_s)),
                  [this] { rehearse(); });
 }
 }  // namespace limemast::operator_api
--- a/src/operator_api/views.cpp
+++ b/src/operator_api/views.cpp
@@ -129,7 +129,7 @@
 }
 
 void OperatorApi::jobs(const Query& query, net::Responder respond) {
-  const auto limit = limit_of(query.fields, settings_.operators.page);
+  const auto limit = limit_of(query.fields, settings_.operators.page_size);
   if (!limit) return respond(error(400, "limit: must be a whole number above 0"));
   const auto from = query.fields.find("from");
   auto it = from == query.fields.end() ? open_.begin() : open_.upper_bound(from->second);
@@ -160,7 +160,7 @@
 // ---- machines ----
 
 void OperatorApi::machines(const Query& query, net::Responder respond) {
-  const auto limit = limit_of(query.fields, settings_.operators.page);
+  const auto limit = limit_of(query.fields, settings_.operators.page_size);
   if (!limit) return respond(error(400, "limit: must be a whole number above 0"));
   const auto from = query.fields.find("from");
   const auto& all = registry_.registrations();
@@ -260,7 +260,7 @@
       entries.push_back(std::move(entry));
     };
     add(settings_.label);
-    for (const auto& [label, endpoint] : settings_.others) add(label);
+    for (const auto& [label, endpoint] : settings_.peer_endpoints) add(label);
     respond(listed("controllers", entries,
                    {{"parts", ages(g)},
                     {"leader", membership_.epoch().leader.label()},
@@ -387,7 +387,7 @@
     // Samples of all controllers fall into the same steps of time; waiting adds up, machines are
     // the same for all.
     const auto step =
-        std::chrono::duration_cast<std::chrono::milliseconds>(settings_.operators.history_every)
+        std::chrono::duration_cast<std::chrono::milliseconds>(settings_.operators.history_interval)
             .count();
     std::map<std::int64_t, std::vector<std::uint64_t>> rows;
     for (const auto& [controller, part] : g.parts) {
--- a/src/overload/admission_filter.hpp
+++ b/src/overload/admission_filter.hpp
@@ -13,7 +13,8 @@
  public:
   /// Both arguments must outlive the filter.
   AdmissionFilter(net::Runtime& runtime, const wire::Settings& settings)
-      : runtime_(runtime), admission_controller_(net::to_duration(settings.overload.lag)) {}
+      : runtime_(runtime),
+        admission_controller_(net::to_duration(settings.overload.max_loop_lag)) {}
   /// Starts the periodic measurement. To be called once.
   void start();
   /// Decides whether a request is admitted. Returns nullopt if it is, otherwise the response to it:
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -16,14 +16,14 @@
 }  // namespace
 
 Client::Client(net::Runtime& runtime, const wire::Settings& settings)
-    : settings_(settings), queue_(runtime, settings.state) {
-  set_active_controllers(settings.size);
+    : settings_(settings), queue_(runtime, settings.store_endpoint) {
+  set_active_controllers(settings.controller_count);
 }
 
 void Client::set_active_controllers(std::size_t controllers) {
-  const auto active = std::clamp<std::size_t>(controllers, 1, settings_.size);
+  const auto active = std::clamp<std::size_t>(controllers, 1, settings_.controller_count);
   const auto share = kLimitUtilization / static_cast<double>(active);
-  queue_.set_rates(settings_.state_rps * share, settings_.state_write_rps * share);
+  queue_.set_rates(settings_.store_requests_per_s * share, settings_.store_writes_per_s * share);
 }
 
 net::Duration Client::write_backlog() const {
--- a/src/store/request_queue.cpp
+++ b/src/store/request_queue.cpp
@@ -78,7 +78,8 @@
   if (pending.writes > 0) writes_.take(now, pending.writes);
   runtime_.http(endpoint_, std::move(pending.request), pending.timeout,
                 [this, done = std::move(pending.done)](net::HttpResult result) {
-                  if (result.status == protocol::kTooManyRequests) requests_.drain(runtime_.now());
+                  if (result.status == protocol::kTooManyRequests)
+                    requests_.exhaust(runtime_.now());
                   done(std::move(result));
                 });
 }
--- a/src/wire/cbor.cpp
+++ b/src/wire/cbor.cpp
@@ -6,11 +6,10 @@
 
 namespace limemast::wire {
 namespace {
-constexpr std::size_t kMaxDepth = 16;    ///< of arrays and maps within each other
-constexpr std::size_t kLongestHead = 9;  ///< bytes of an item's longest head: its kind and a value
+constexpr std::size_t kMaxDepth = 16;     ///< levels of nested arrays and maps
+constexpr std::size_t kMaxHeadBytes = 9;  ///< size of the longest head: item type and argument
 
-/// Writes items straight into the frame: a tree of libcbor's items costs an allocation and a free
-/// for each.
+/// Writes items directly into a buffer. A tree of libcbor items would cost one allocation per item.
 class Encoder {
  public:
   void put(const json& value) {
@@ -50,7 +49,7 @@
   static constexpr std::uint8_t kNull = 0xf6;
   template <class Encode, class Value>
   void head(Encode encode, Value value) {
-    std::array<unsigned char, kLongestHead> buffer{};
+    std::array<unsigned char, kMaxHeadBytes> buffer{};
     const auto n = encode(value, buffer.data(), buffer.size());
     out_.insert(out_.end(), buffer.begin(), buffer.begin() + static_cast<std::ptrdiff_t>(n));
   }
@@ -61,84 +60,85 @@
   std::vector<std::uint8_t> out_;
 };
 
-/// Builds the value from the events of libcbor's decoder. After broken() further events are
-/// ignored.
+/// Builds a JSON value from the callbacks of libcbor's stream decoder. Ignores all callbacks after
+/// an error.
 class Decoder {
  public:
-  bool broken() const { return broken_; }
+  bool failed() const { return failed_; }
   bool finished() const { return started_ && open_.empty(); }
   json take() { return std::move(root_); }
 
-  void value(json v) {
-    auto* place = slot(v);
+  void add_value(json v) {
+    auto* place = find_slot(v);
     if (!place) return;
     *place = std::move(v);
-    close_full();
+    close_complete_containers();
   }
-  void collection(json empty, std::size_t size) {
-    auto* place = slot(empty);
+  void begin_container(json empty, std::size_t size) {
+    auto* place = find_slot(empty);
     if (!place) return;
     *place = std::move(empty);
     if (open_.size() >= kMaxDepth) return fail();
     open_.push_back({place, size, {}, false});
-    close_full();
+    close_complete_containers();
   }
-  void fail() { broken_ = true; }
+  void fail() { failed_ = true; }
 
  private:
-  struct Frame {
+  struct OpenContainer {
     json* container;
-    std::size_t missing;  ///< elements, or pairs, that have yet to come
-    std::string key;      ///< of the pair whose value comes next
+    std::size_t remaining;  ///< elements or pairs that have not been decoded yet
+    std::string key;        ///< of the pair whose value is decoded next, if `has_key`
     bool has_key;
   };
-  /// Where the next item goes; nullptr if it was a key, or if no item may come here.
-  json* slot(json& v) {
-    if (broken_ || (started_ && open_.empty())) return fail(), nullptr;
+  /// Returns the place for the next item. Returns nullptr if the item is a key, which it stores, or
+  /// if no item is allowed here, which is an error.
+  json* find_slot(json& v) {
+    if (failed_ || (started_ && open_.empty())) return fail(), nullptr;
     if (!started_) {
       started_ = true;
       return &root_;
     }
-    auto& frame = open_.back();
-    if (frame.container->is_array()) {
-      --frame.missing;
-      frame.container->push_back(nullptr);
-      return &frame.container->back();
+    auto& top = open_.back();
+    if (top.container->is_array()) {
+      --top.remaining;
+      top.container->push_back(nullptr);
+      return &top.container->back();
     }
-    if (!frame.has_key) {
+    if (!top.has_key) {
       if (!v.is_string()) return fail(), nullptr;
-      frame.key = std::move(v.get_ref<std::string&>());
-      frame.has_key = true;
+      top.key = std::move(v.get_ref<std::string&>());
+      top.has_key = true;
       return nullptr;
     }
-    frame.has_key = false;
-    --frame.missing;
-    return &(*frame.container)[frame.key];
+    top.has_key = false;
+    --top.remaining;
+    return &(*top.container)[top.key];
   }
-  void close_full() {
-    while (!open_.empty() && open_.back().missing == 0 && !open_.back().has_key) open_.pop_back();
+  void close_complete_containers() {
+    while (!open_.empty() && open_.back().remaining == 0 && !open_.back().has_key) open_.pop_back();
   }
   json root_;
-  std::vector<Frame> open_;
+  std::vector<OpenContainer> open_;
   bool started_ = false;
-  bool broken_ = false;
+  bool failed_ = false;
 };
 
 Decoder& decoder(void* context) { return *static_cast<Decoder*>(context); }
 template <class Number>
 void on_uint(void* context, Number number) {
-  decoder(context).value(static_cast<std::uint64_t>(number));
+  decoder(context).add_value(static_cast<std::uint64_t>(number));
 }
 template <class Number>
 void on_negint(void* context, Number number) {
-  decoder(context).value(-static_cast<std::int64_t>(number) - 1);
+  decoder(context).add_value(-static_cast<std::int64_t>(number) - 1);
 }
 template <class Number>
 void on_float(void* context, Number number) {
-  decoder(context).value(static_cast<double>(number));
+  decoder(context).add_value(static_cast<double>(number));
 }
-/// Byte strings, tags and items of unknown length are not used between controllers.
-void on_refused(void* context) { decoder(context).fail(); }
+/// Controllers do not send byte strings, tags or items of indefinite length.
+void on_unsupported(void* context) { decoder(context).fail(); }
 
 const cbor_callbacks& callbacks() {
   static const cbor_callbacks kCallbacks = [] {
@@ -152,22 +152,22 @@
     v.negint32 = on_negint<std::uint32_t>;
     v.negint64 = on_negint<std::uint64_t>;
     v.byte_string_start = v.string_start = v.indef_array_start = v.indef_map_start = v.indef_break =
-        on_refused;
+        on_unsupported;
     v.byte_string = [](void* context, cbor_data, std::size_t) { decoder(context).fail(); };
     v.string = [](void* context, cbor_data data, std::size_t size) {
-      decoder(context).value(std::string(reinterpret_cast<const char*>(data), size));
+      decoder(context).add_value(std::string(reinterpret_cast<const char*>(data), size));
     };
     v.array_start = [](void* context, std::size_t size) {
-      decoder(context).collection(json::array(), size);
+      decoder(context).begin_container(json::array(), size);
     };
     v.map_start = [](void* context, std::size_t size) {
-      decoder(context).collection(json::object(), size);
+      decoder(context).begin_container(json::object(), size);
     };
     v.tag = [](void* context, std::uint64_t) { decoder(context).fail(); };
     v.float2 = v.float4 = on_float<float>;
     v.float8 = on_float<double>;
-    v.undefined = v.null = [](void* context) { decoder(context).value(nullptr); };
-    v.boolean = [](void* context, bool b) { decoder(context).value(b); };
+    v.undefined = v.null = [](void* context) { decoder(context).add_value(nullptr); };
+    v.boolean = [](void* context, bool b) { decoder(context).add_value(b); };
     return v;
   }();
   return kCallbacks;
@@ -185,7 +185,7 @@
   while (size > 0) {
     const auto step = cbor_stream_decode(data, size, &callbacks(), &decoder);
     if (step.status != CBOR_DECODER_FINISHED || step.read == 0 || step.read > size ||
-        decoder.broken())
+        decoder.failed())
       return std::nullopt;
     data += step.read;
     size -= step.read;
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -2,14 +2,14 @@
 
 namespace limemast::wire {
 namespace {
-// Spellings of the cloud's interface.
+// Field names and values of the cloud's API.
 constexpr auto kAccelerators = "accelerators";
 constexpr auto kAddress = "address";
 constexpr auto kBoot = "readyS";
 constexpr auto kCacheGb = "localGb";
 constexpr auto kCpus = "cpus";
 constexpr auto kFetchRate = "fetchGbPerS";
-constexpr auto kHeld = "heldS";
+constexpr auto kRentedFor = "heldS";
 constexpr auto kMachineName = "uid";
 constexpr auto kMachines = "hosts";
 constexpr auto kMore = "truncated";
@@ -41,7 +41,7 @@
   return type;
 }
 
-/// A phase that is not known counts as booting: nothing is expected of such a machine.
+/// An unknown phase is parsed as Booting, since the machine is then not expected to run tasks.
 MachinePhase parse_phase(const std::string& phase) {
   if (phase == kPhaseRunning) return MachinePhase::Running;
   if (phase == kPhaseFailed) return MachinePhase::Failed;
@@ -55,7 +55,7 @@
   machine.zone = entry.at(kZone).get<std::string>();
   machine.spot = entry.at(kSpot).get<bool>();
   machine.phase = parse_phase(entry.at(kPhase).get<std::string>());
-  machine.held = Seconds(entry.value(kHeld, 0.0));
+  machine.rented_for = Seconds(entry.value(kRentedFor, 0.0));
   machine.address = entry.value(kAddress, "");
   return machine;
 }
@@ -71,17 +71,17 @@
 
 std::optional<MachinePage> parse_machines(const json& body) try {
   MachinePage page;
-  page.more = body.value(kMore, false);
+  page.has_more = body.value(kMore, false);
   for (const auto& entry : body.at(kMachines)) page.machines.push_back(parse_machine(entry));
   return page;
 } catch (const json::exception&) {
   return std::nullopt;
 }
 
-std::optional<std::vector<ListedMachine>> parse_machines(const json& body, bool& more) {
+std::optional<std::vector<ListedMachine>> parse_machines(const json& body, bool& has_more) {
   auto page = parse_machines(body);
   if (!page) return std::nullopt;
-  more = page->more;
+  has_more = page->has_more;
   return std::move(page->machines);
 }
 }  // namespace limemast::wire
--- a/src/wire/job.cpp
+++ b/src/wire/job.cpp
@@ -6,7 +6,7 @@
 
 namespace limemast::wire {
 namespace {
-// Spellings of a submission.
+// Field names and values of a submission.
 constexpr auto kUid = "uid";
 constexpr auto kWorkload = "workload";
 constexpr auto kTeam = "owner";
@@ -27,10 +27,10 @@
 constexpr auto kSpread = "apart";
 constexpr auto kSpot = "reclaimable";
 constexpr auto kEstimate = "expectS";
-constexpr auto kCheckpointEvery = "snapshotEveryS";
-constexpr auto kSaveCost = "snapshotCostS";
+constexpr auto kCheckpointInterval = "snapshotEveryS";
+constexpr auto kCheckpointDuration = "snapshotCostS";
 constexpr auto kDue = "dueS";
-/// Stands for the whole submission in an error.
+/// The field name in an error about the submission as a whole.
 constexpr auto kBody = "body";
 
 constexpr std::pair<const char*, Rank> kRanks[] = {{"low", Rank::Low},
@@ -50,7 +50,7 @@
   return std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
-/// Reads the fields of one object, remembering the first that is missing or invalid.
+/// Reads the fields of one object and records the first that is missing or invalid.
 class FieldReader {
  public:
   explicit FieldReader(const json& object) : object_(object) {}
@@ -75,14 +75,14 @@
     if (it == object_.end() || !it->is_boolean()) return fail(field), false;
     return it->get<bool>();
   }
-  std::uint32_t count(const char* field, std::uint32_t most) {
+  std::uint32_t count(const char* field, std::uint32_t max) {
     const auto it = object_.find(field);
     if (it == object_.end() || !it->is_number_integer() || it->get<std::int64_t>() < 1 ||
-        it->get<std::int64_t>() > most)
+        it->get<std::int64_t>() > max)
       return fail(field), 1;
     return it->get<std::uint32_t>();
   }
-  /// nullptr if the field is missing or null.
+  /// Returns nullptr if the field is missing or null.
   const json* optional(const char* field) const {
     const auto it = object_.find(field);
     return it == object_.end() || it->is_null() ? nullptr : &*it;
@@ -175,8 +175,8 @@
   spec.spread = in.flag(kSpread);
   spec.spot = in.flag(kSpot);
   spec.estimate = in.seconds(kEstimate);
-  spec.checkpoint_every = in.seconds(kCheckpointEvery);
-  spec.save_cost = in.seconds(kSaveCost);
+  spec.checkpoint_interval = in.seconds(kCheckpointInterval);
+  spec.checkpoint_duration = in.seconds(kCheckpointDuration);
   if (in.optional(kDue)) spec.due = in.seconds(kDue);
   if (in.error()) return *in.error();
   return spec;
@@ -206,8 +206,8 @@
            {kSpread, spec.spread},
            {kSpot, spec.spot},
            {kEstimate, spec.estimate.count()},
-           {kCheckpointEvery, spec.checkpoint_every.count()},
-           {kSaveCost, spec.save_cost.count()}};
+           {kCheckpointInterval, spec.checkpoint_interval.count()},
+           {kCheckpointDuration, spec.checkpoint_duration.count()}};
   if (spec.types) out[kTypes] = *spec.types;
   if (spec.zone) out[kZone] = *spec.zone;
   if (spec.due) out[kDue] = spec.due->count();
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -2,7 +2,7 @@
 
 namespace limemast::wire {
 namespace {
-/// Positions in the list; the tasks follow the fields of the heartbeat.
+// Positions in the array. The tasks follow the fields of the heartbeat.
 constexpr std::size_t kMachine = 0;
 constexpr std::size_t kAddress = 1;
 constexpr std::size_t kType = 2;
@@ -12,16 +12,16 @@
 constexpr std::size_t kSequence = 6;
 constexpr std::size_t kFencingToken = 7;
 constexpr std::size_t kPreemptionNotice = 8;
-constexpr std::size_t kHeartbeatFields = 9;
-/// Positions within the part of one task.
+constexpr std::size_t kHeartbeatFieldCount = 9;
+// Positions relative to the first field of a task.
 constexpr std::size_t kUid = 0;
 constexpr std::size_t kIndex = 1;
 constexpr std::size_t kAttempt = 2;
 constexpr std::size_t kPhase = 3;
 constexpr std::size_t kExitCause = 4;
-constexpr std::size_t kTaskFields = 5;
+constexpr std::size_t kTaskFieldCount = 5;
 
-/// Reads an enumerator sent as its number, of which `last` is the highest.
+/// Reads an enumerator from its numeric value, which must not exceed that of `last`.
 template <class Enum>
 bool read_enumerator(const json& value, Enum last, Enum& out) {
   if (!value.is_number_unsigned() || value.get<std::uint64_t>() > static_cast<std::uint64_t>(last))
@@ -30,9 +30,9 @@
   return true;
 }
 
-bool has_form_of_heartbeat(const json& list) {
-  if (!list.is_array() || list.size() < kHeartbeatFields ||
-      (list.size() - kHeartbeatFields) % kTaskFields != 0)
+bool has_heartbeat_layout(const json& list) {
+  if (!list.is_array() || list.size() < kHeartbeatFieldCount ||
+      (list.size() - kHeartbeatFieldCount) % kTaskFieldCount != 0)
     return false;
   for (const auto field : {kMachine, kAddress, kType, kZone})
     if (!list[field].is_string()) return false;
@@ -42,14 +42,14 @@
   return list[kSpot].is_boolean() && (notice.is_null() || notice.is_number());
 }
 
-/// The task whose part of the list begins at `first`.
+/// Parses the task whose fields begin at position `first`.
 std::optional<TaskStatus> parse_task(const json& list, std::size_t first) {
   const auto field = [&](std::size_t position) -> const json& { return list[first + position]; };
   TaskStatus task;
   if (!field(kUid).is_string() || !field(kIndex).is_number_unsigned() ||
       !field(kAttempt).is_number_unsigned() ||
       !read_enumerator(field(kPhase), TaskPhase::Exited, task.phase) ||
-      !read_enumerator(field(kExitCause), ExitCause::Alone, task.exit_cause))
+      !read_enumerator(field(kExitCause), ExitCause::GangTimeout, task.exit_cause))
     return std::nullopt;
   task.uid = field(kUid).get<std::string>();
   task.index = field(kIndex).get<std::uint32_t>();
@@ -58,10 +58,10 @@
 }
 }  // namespace
 
-json to_peer(const Heartbeat& heartbeat) {
+json to_peer_json(const Heartbeat& heartbeat) {
   json out = json::array();
   auto& list = out.get_ref<json::array_t&>();
-  list.reserve(kHeartbeatFields + kTaskFields * heartbeat.tasks.size());
+  list.reserve(kHeartbeatFieldCount + kTaskFieldCount * heartbeat.tasks.size());
   const auto& notice = heartbeat.preemption_notice;
   list.insert(list.end(),
               {heartbeat.machine, heartbeat.address, heartbeat.type, heartbeat.zone, heartbeat.spot,
@@ -74,7 +74,7 @@
 }
 
 std::optional<Heartbeat> parse_peer_heartbeat(const json& message) {
-  if (!has_form_of_heartbeat(message)) return std::nullopt;
+  if (!has_heartbeat_layout(message)) return std::nullopt;
   Heartbeat heartbeat;
   heartbeat.machine = message[kMachine].get<std::string>();
   heartbeat.address = message[kAddress].get<std::string>();
@@ -86,8 +86,8 @@
   heartbeat.fencing_token = message[kFencingToken].get<ids::FencingToken>();
   if (const auto& notice = message[kPreemptionNotice]; !notice.is_null())
     heartbeat.preemption_notice = Seconds(notice.get<double>());
-  heartbeat.tasks.reserve((message.size() - kHeartbeatFields) / kTaskFields);
-  for (std::size_t i = kHeartbeatFields; i < message.size(); i += kTaskFields) {
+  heartbeat.tasks.reserve((message.size() - kHeartbeatFieldCount) / kTaskFieldCount);
+  for (std::size_t i = kHeartbeatFieldCount; i < message.size(); i += kTaskFieldCount) {
     auto task = parse_task(message, i);
     if (!task) return std::nullopt;
     heartbeat.tasks.push_back(std::move(*task));
--- a/src/wire/resources.hpp
+++ b/src/wire/resources.hpp
@@ -1,21 +1,21 @@
 #pragma once
-// Resources: what a task takes of a machine, and what a machine has.
+// Resources that tasks require and machines provide.
 #include "wire/cloud.hpp"
 #include "wire/job.hpp"
 
 namespace limemast::wire {
-/// CPUs, memory (GB) and accelerators: of a task, or free on a machine.
+/// Resources that a task requires, or that a machine has in total or free.
 struct Resources {
   double cpus = 0;
   double ram_gb = 0;
   double accelerators = 0;
 
-  /// Amounts that differ by less than this are equal: sums of fractions of a CPU are not exact.
+  /// fits() ignores differences below this, since sums of fractions of a CPU are not exact.
   static constexpr double kTolerance = 1e-6;
 
-  /// What one task of the job takes.
+  /// The requirements of one task of the job.
   static Resources of(const JobSpec& spec) { return {spec.cpus, spec.ram_gb, spec.accelerators}; }
-  /// What an empty machine of the type has.
+  /// The resources of an empty machine of the type.
   static Resources of(const MachineType& type) {
     return {type.cpus, type.ram_gb, type.accelerators};
   }
@@ -32,7 +32,7 @@
     return *this;
   }
   bool operator==(const Resources&) const = default;
-  /// Whether something that takes `need` has room in this.
+  /// Whether a task that requires `need` fits into these resources.
   bool fits(const Resources& need) const {
     return need.cpus <= cpus + kTolerance && need.ram_gb <= ram_gb + kTolerance &&
            need.accelerators <= accelerators + kTolerance;
--- a/src/wire/result.hpp
+++ b/src/wire/result.hpp
@@ -1,12 +1,12 @@
 #pragma once
-// The outcome of an operation that can fail in a way its caller has to look at.
+// Return type of operations whose caller must check for an error.
 #include <string>
 #include <utility>
 #include <variant>
 
 namespace limemast::wire {
-/// A value, or the reason why there is none. Reading the value of a failure, or the error of a
-/// success, throws std::bad_variant_access.
+/// Holds a value or an error. Access to the value of a failure, or to the error of a success,
+/// throws std::bad_variant_access.
 template <class Value, class Error>
 class Result {
  public:
@@ -29,7 +29,7 @@
 
 /// A field of a request or record that is missing or invalid.
 struct FieldError {
-  std::string field;  ///< as spelt on the wire; "body" if the whole is no object
+  std::string field;  ///< its spelling on the wire; "body" if the message is not an object
   bool operator==(const FieldError&) const = default;
 };
 }  // namespace limemast::wire
--- a/src/wire/settings.hpp
+++ b/src/wire/settings.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Settings: what the platform tells each controller (JSON, read by app/settings.hpp) and what the
-// operators choose (TOML, described by app/options.hpp).
+// Settings of a controller: those that the platform passes (JSON, parsed by app/settings.hpp) and
+// those that operators choose (TOML, described by app/options.hpp).
 #include <algorithm>
 #include <map>
 #include <string>
@@ -9,109 +9,115 @@
 #include "wire/job.hpp"
 
 namespace limemast::wire {
-/// A team's guarantee and limit, of the platform.
+/// The quota of a team, set by the platform.
 struct Team {
   double cpus = 0;              ///< guaranteed
-  double cpus_max = 0;          ///< limit; 0: none
+  double cpus_max = 0;          ///< limit; 0: unlimited
   double accelerators = 0;      ///< guaranteed
-  double accelerators_max = 0;  ///< limit; 0: none
+  double accelerators_max = 0;  ///< limit; 0: unlimited
 };
 
-/// What the users expect of a class of jobs, of the platform.
+/// A service-level objective, set by the platform.
 struct Objective {
   std::string kind;      ///< "wait", "deadline", "finished" or "guarantee"
-  std::string workload;  ///< the class; empty: not of a class
-  Seconds within{0};     ///< from the submission, or from the demand for a guarantee
-  double share = 0;      ///< of the jobs, or of the time, for which it is to hold; 0 to 1
+  std::string workload;  ///< the class of jobs that it covers; empty: it covers no class
+  Seconds within{0};     ///< since the submission, or since the demand if `kind` is "guarantee"
+  double share = 0;      ///< target fraction of the jobs, or of the time, from 0 to 1
 };
 
-/// Scheduling options of the operators; the defaults are the design's starting values.
+/// Scheduling options of the operators; the defaults are the starting values of the design.
 struct Tuning {
-  double short_share = 0.08;     ///< share of machines that take no long tasks
-  Seconds long_threshold{60};    ///< a job is long if its tasks average more
-  std::uint32_t min_probes = 4;  ///< the fewest probes that a short job sends
-  double bypass_cap = 5;         ///< how often its own estimate a probe may be passed by
-  Seconds map_interval{2};       ///< how often the leader sends its map of long tasks
-  Seconds progress_interval{5};  ///< how often an owner records its progress
-  Seconds idle_return{20};       ///< a machine idle for this long is terminated
-  /// A class that is hardly served while others are comes before what is only better ranked.
-  bool last_resort = false;
-  /// Share of what jobs lack to meet their deadlines for which on-demand machines are launched.
-  double overflow = 1;
+  double short_share = 0.08;     ///< fraction of the machines that accept no long tasks
+  Seconds long_threshold{60};    ///< a job is long if its average task duration is above this
+  std::uint32_t min_probes = 4;  ///< minimum number of probes that a short job sends
+  /// Other probes may bypass a queued probe until their estimates add up to this multiple of its
+  /// own.
+  double bypass_cap = 5;
+  Seconds map_interval{2};       ///< interval at which the leader sends its map of long tasks
+  Seconds progress_interval{5};  ///< interval at which an owner records the progress of its jobs
+  Seconds idle_return{20};       ///< a machine that has been idle for this long is terminated
+  /// A class of jobs that misses its objectives by far while others meet theirs is scheduled
+  /// before jobs that only have a higher rank.
+  bool prioritize_underserved = false;
+  /// Fraction of the capacity missing for deadlines that is launched as on-demand machines.
+  double on_demand_fraction = 1;
 };
 
 /// Options of the operator API.
 struct OperatorSettings {
   bool enabled = false;
-  double per_second = 40;            ///< requests that a controller answers; more are refused
-  std::uint32_t page = 200;          ///< entries of one answer at the most
-  Seconds patience{0.8};             ///< time-out of other controllers' parts of an answer
-  Seconds history_every{5};          ///< between two samples of the history
-  std::uint32_t history_kept = 720;  ///< samples
-  /// A controller queries itself this often a second, to measure what the API costs; 0: never.
-  double rehearse_per_s = 0;
+  double max_requests_per_s = 40;    ///< of one controller; requests above this rate are refused
+  std::uint32_t page_size = 200;     ///< maximum number of entries in one response
+  Seconds peer_timeout{0.8};         ///< time-out of other controllers' parts of a response
+  Seconds history_interval{5};       ///< between two samples of the history
+  std::uint32_t history_size = 720;  ///< samples
+  /// Rate at which a controller sends requests to its own API, to measure their cost; 0: never.
+  double self_requests_per_s = 0;
 };
 
 /// Options of drains.
 struct DrainSettings {
-  Seconds patience{300};     ///< tasks that save nothing may run on for this long
-  std::uint32_t moves = 16;  ///< tasks stopped and not running elsewhere yet, at the most
+  /// Tasks without checkpoints may run on for this long on a drained machine.
+  Seconds no_checkpoint_grace_period{300};
+  /// Maximum number of tasks that have been evicted and are not yet running elsewhere.
+  std::uint32_t max_moving_tasks = 16;
 };
 
-/// Options for times when users ask for more than the processors can do.
+/// Options for admission control and load balancing between controllers.
 struct OverloadSettings {
-  /// An event loop that lags further behind admits fewer submissions, then fewer queries; 0: all
-  /// are admitted.
-  Seconds lag{0.2};
+  /// A controller whose event loop lags by more than this admits fewer submissions, and then fewer
+  /// queries; 0: it admits all requests.
+  Seconds max_loop_lag{0.2};
   /// Machines move from the controller with the highest load to the one with the lowest.
-  bool balance = true;
+  bool rebalance_machines = true;
 };
 
-/// Options of how a process starts.
+/// Options for the start of a process.
 struct StartSettings {
-  /// After all controllers ended at once, machines are asked for their state.
-  bool ask_unheard = false;
-  /// For how long binding an address that a former process holds is retried.
-  Seconds bind_patience{60};
+  /// After a restart of all controllers, the leader asks machines that have sent no heartbeat for
+  /// their state instead of waiting for one.
+  bool query_machines_after_restart = false;
+  /// Time-out for binding an address that an earlier process still holds.
+  Seconds bind_timeout{60};
 };
 
-/// A lease is certain to have expired by our clock, however its holder's clock runs, once its time
-/// has passed multiplied by this: clocks differ by at most one part in a thousand.
+/// Clocks of two machines drift apart by at most one part in kClockDriftDivisor. A lease has
+/// therefore expired on its holder's clock once its duration multiplied by this factor has elapsed
+/// on ours.
 inline constexpr double kClockDriftFactor = 1.001;
-/// The same as a whole number: clocks differ by at most one part in this many.
 inline constexpr int kClockDriftDivisor = 1000;
 
-/// All that a controller is told when it starts. Does not change while it runs.
+/// All settings of a controller. They do not change while the process runs.
 struct Settings {
-  // Of the platform: this controller and what it connects to.
-  std::string label;                          ///< this controller's
-  std::string zone;                           ///< in which it runs
-  std::string serve_on;                       ///< address:port for users, workers and operators
-  std::string peers_on;                       ///< address:port for other controllers
-  std::map<std::string, std::string> others;  ///< other controllers' label -> address:port
-  std::string cloud;                          ///< address:port of the cloud's interface
-  std::string state;                          ///< address:port of the key-value store
-  // Of the platform: the cluster.
-  std::uint32_t size = 3;  ///< controllers of the deployment
+  // Set by the platform: this controller and its endpoints ("address:port").
+  std::string label;                                  ///< name of this controller
+  std::string zone;                                   ///< in which this controller runs
+  std::string client_listen_endpoint;                 ///< for users, workers and operators
+  std::string peer_listen_endpoint;                   ///< for other controllers
+  std::map<std::string, std::string> peer_endpoints;  ///< of the other controllers, by label
+  std::string cloud_endpoint;                         ///< of the cloud's API
+  std::string store_endpoint;                         ///< of the key-value store
+  // Set by the platform: the cluster.
+  std::uint32_t controller_count = 3;  ///< of the deployment, this controller included
   std::vector<std::string> zones;
   std::map<std::string, Team> teams;  ///< by name
   std::vector<Objective> objectives;
-  // Of the platform: workers.
+  // Set by the platform: workers.
   Seconds heartbeat_interval{2};
-  /// A worker that no controller has answered for this long ends its tasks, by its own clock; see
-  /// kClockDriftFactor.
+  /// A worker kills its tasks if it has received no response from any controller for this long on
+  /// its own clock; see kClockDriftFactor.
   Seconds worker_lease{12};
-  Seconds cancel_timeout{37};  ///< a cancelled job's tasks must have ended within this
-  // Of the platform: limits of the services.
-  double state_rps = 0;               ///< requests a second to the key-value store
-  double state_write_rps = 0;         ///< of these, writes
-  double value_kb = 0;                ///< KiB of one value
-  std::uint32_t txn_ops = 0;          ///< puts and deletes of one transaction
-  double cloud_rps = 0;               ///< requests a second to the cloud
-  Seconds list_lag{0};                ///< by which the cloud's list of machines is out of date
+  Seconds cancel_timeout{37};  ///< within which all tasks of a cancelled job must have exited
+  // Set by the platform: limits of external services and of the process.
+  double store_requests_per_s = 0;    ///< to the key-value store, from all controllers
+  double store_writes_per_s = 0;      ///< writes among these requests
+  double max_value_kib = 0;           ///< size of one value in the key-value store, in KiB
+  std::uint32_t max_txn_ops = 0;      ///< puts and deletes in one transaction
+  double cloud_requests_per_s = 0;    ///< to the cloud's API
+  Seconds machine_list_lag{0};        ///< staleness of the cloud's list of machines
   std::uint32_t max_connections = 0;  ///< sockets of this process
-  Seconds skew{0};                    ///< bound of the wall clock's error
-  // Of the operators.
+  Seconds max_clock_skew{0};          ///< bound of the wall clock's error
+  // Set by the operators.
   Tuning tuning;
   OperatorSettings operators;
   DrainSettings drains;
@@ -119,25 +125,25 @@
   OverloadSettings overload;
   bool json_logs = false;  ///< log lines are JSON objects
 
-  /// Whether the team has no guarantee while other teams have one: its jobs are best effort and are
-  /// preempted for the others'. False for an unknown team.
-  bool guest(const std::string& team) const {
+  /// Whether the team has no guarantee although another team has one. Its jobs are best effort and
+  /// are preempted for jobs of teams with a guarantee. False for an unknown team.
+  bool is_best_effort_team(const std::string& team) const {
     const auto it = teams.find(team);
     return it != teams.end() && !has_guarantee(it->second) &&
            std::any_of(teams.begin(), teams.end(),
                        [](const auto& entry) { return has_guarantee(entry.second); });
   }
-  /// Whether the job is best effort: it uses what is free and is preempted for all others. Those
-  /// are the jobs of teams that are guest(), and jobs of low rank and of teams without guarantee
-  /// that have neither a deadline nor an objective to finish.
-  bool yields(const JobSpec& spec) const {
+  /// Whether the job is best effort: it uses only free capacity and is preempted for all other
+  /// jobs. This holds for all jobs of a best-effort team, and for low-rank jobs of a team without a
+  /// guarantee that have neither a deadline nor an objective for their completion time.
+  bool is_best_effort(const JobSpec& spec) const {
     const auto it = teams.find(spec.team);
     const bool guaranteed = it != teams.end() && has_guarantee(it->second);
-    return guest(spec.team) ||
-           (!guaranteed && spec.rank == Rank::Low && !spec.due && !expects_finish(spec.workload));
+    return is_best_effort_team(spec.team) || (!guaranteed && spec.rank == Rank::Low && !spec.due &&
+                                              !has_finish_objective(spec.workload));
   }
-  /// Whether an objective says within which time jobs of this class are to finish.
-  bool expects_finish(const std::string& workload) const {
+  /// Whether an objective sets a completion time for jobs of this class.
+  bool has_finish_objective(const std::string& workload) const {
     return std::any_of(objectives.begin(), objectives.end(), [&](const Objective& objective) {
       return objective.kind == "finished" && objective.workload == workload;
     });
--- a/src/wire/worker.cpp
+++ b/src/wire/worker.cpp
@@ -4,7 +4,7 @@
 
 namespace limemast::wire {
 namespace {
-// Spellings between workers and controllers.
+// Field names and values in the messages between workers and controllers.
 constexpr auto kMachine = "host";
 constexpr auto kAddress = "address";
 constexpr auto kType = "flavor";
@@ -29,13 +29,18 @@
                                                          {"saving", TaskPhase::Saving},
                                                          {"exited", TaskPhase::Exited}};
 constexpr std::pair<const char*, ExitCause> kExitCauses[] = {
-    {"done", ExitCause::Done},   {"halted", ExitCause::Halted}, {"error", ExitCause::Error},
-    {"full", ExitCause::Full},   {"in_use", ExitCause::InUse},  {"no_such", ExitCause::NoSuch},
-    {"peers", ExitCause::Peers}, {"alone", ExitCause::Alone}};
+    {"done", ExitCause::Done},
+    {"halted", ExitCause::Stopped},
+    {"error", ExitCause::Error},
+    {"full", ExitCause::NoRoom},
+    {"in_use", ExitCause::DuplicateAttempt},
+    {"no_such", ExitCause::UnknownTask},
+    {"peers", ExitCause::GangTaskLost},
+    {"alone", ExitCause::GangTimeout}};
 constexpr std::pair<const char*, CommandKind> kCommandKinds[] = {
     {"run", CommandKind::Start}, {"kill", CommandKind::Stop}, {"clear", CommandKind::Forget}};
 
-/// False, and `out` as it was, if the text is none of the table's.
+/// Returns false and leaves `out` unchanged if the table does not contain the text.
 template <class Table, class Value>
 bool lookup(const Table& table, const json& text, Value& out) {
   if (!text.is_string()) return false;
@@ -54,7 +59,7 @@
   return "";
 }
 
-// Each reads one field; false if it is missing or of another type.
+// Each overload reads one field and returns false if it is missing or has another type.
 bool read(const json& object, const char* field, std::uint64_t& out) {
   const auto it = object.find(field);
   if (it == object.end() || !it->is_number_unsigned()) return false;
@@ -73,14 +78,14 @@
   out = it->get<bool>();
   return true;
 }
-/// An empty text counts as missing.
+/// An empty string counts as missing.
 bool read(const json& object, const char* field, std::string& out) {
   const auto it = object.find(field);
   if (it == object.end() || !it->is_string()) return false;
   out = it->get<std::string>();
   return !out.empty();
 }
-/// May be missing or null.
+/// The field is optional: if it is missing or null, `out` is unchanged and the result is true.
 bool read(const json& object, const char* field, std::optional<Seconds>& out) {
   const auto it = object.find(field);
   if (it == object.end() || it->is_null()) return true;
@@ -88,7 +93,7 @@
   out = Seconds(it->get<double>());
   return true;
 }
-/// The name of a task and the number of the attempt, as in TaskStatus and Command.
+/// Reads the fields that TaskStatus and Command share: job, task index and attempt.
 template <class Attempt>
 bool read_attempt(const json& object, Attempt& out) {
   std::string name;
--- a/tests/app/settings_test.cpp
+++ b/tests/app/settings_test.cpp
@@ -32,9 +32,9 @@
 
 TEST(Settings, AreReadAndUnknownFieldsIgnored) {
   const auto s = parse_settings(example().dump());
-  EXPECT_EQ(s.others.at("c-1"), "10.0.0.2:81");
+  EXPECT_EQ(s.peer_endpoints.at("c-1"), "10.0.0.2:81");
   EXPECT_DOUBLE_EQ(s.teams.at("t").cpus_max, 8);
-  EXPECT_EQ(s.skew, wire::Seconds(1));
+  EXPECT_EQ(s.max_clock_skew, wire::Seconds(1));
   EXPECT_EQ(s.objectives.at(0).workload, "w");
 }
 
@@ -87,11 +87,11 @@
   apply_tuning(s,
                "overflow = 0.5\n[scheduling]\nmin_probes = 7\n[operator]\nenabled = true\npage = "
                "50\n[drains]\npatience_s = 60\n[log]\njson = true\n");
-  EXPECT_DOUBLE_EQ(s.tuning.overflow, 0.5);
+  EXPECT_DOUBLE_EQ(s.tuning.on_demand_fraction, 0.5);
   EXPECT_EQ(s.tuning.min_probes, 7u);
   EXPECT_TRUE(s.operators.enabled);
-  EXPECT_EQ(s.operators.page, 50u);
-  EXPECT_EQ(s.drains.patience, wire::Seconds(60));
+  EXPECT_EQ(s.operators.page_size, 50u);
+  EXPECT_EQ(s.drains.no_checkpoint_grace_period, wire::Seconds(60));
   EXPECT_TRUE(s.json_logs);
   EXPECT_FALSE(wire::Settings().operators.enabled) << "off unless switched on";
   const std::pair<const char*, const char*> bad[] = {
--- a/tests/bench/diagnostics_bench.cpp
+++ b/tests/bench/diagnostics_bench.cpp
@@ -49,9 +49,9 @@
   SimulatedWorld world(3);
   auto settings = settings_with_operators();
   settings.operators.enabled = state.range(0) > 0;
-  settings.operators.rehearse_per_s = state.range(0) == 2 ? 10 : 0;
-  settings.state_rps = 5'000;
-  settings.state_write_rps = 5'000;
+  settings.operators.self_requests_per_s = state.range(0) == 2 ? 10 : 0;
+  settings.store_requests_per_s = 5'000;
+  settings.store_writes_per_s = 5'000;
   SimulatedCluster cluster(world, settings, {.lambda_s = 6, .scripted = true});
   cluster.stop_arrivals();
   cluster.run(10s);
--- a/tests/bench/large_deployment_bench.cpp
+++ b/tests/bench/large_deployment_bench.cpp
@@ -33,7 +33,7 @@
 int restart(std::size_t machines, double delay, std::uint64_t seed) {
   SimulatedWorld world(seed);
   auto settings = fleet_settings();
-  settings.start.ask_unheard = std::getenv("ASK_UNHEARD") != nullptr;
+  settings.start.query_machines_after_restart = std::getenv("ASK_UNHEARD") != nullptr;
   SimulatedCluster cluster(world, settings, {.per_pool = machines / 12 + 1, .scripted = true});
   if (!fill(cluster, machines)) return std::puts("the fleet did not fill"), 1;
   const auto up = cluster.up_machines();
@@ -89,7 +89,7 @@
       "%zu machines up: %zu records name %zu of them, the largest %zu bytes of %.0f; generation "
       "%zu bytes; map of long tasks %zu bytes; "
       "%zu views, %zu registered, %zu jobs at the leader; whole simulation %ld MB\n",
-      cluster.up_machines(), records, names, largest, settings.value_kb * 1024,
+      cluster.up_machines(), records, names, largest, settings.max_value_kib * 1024,
       epoch ? epoch->dump().size() : 0, wire::to_cbor(told).size(),
       n->registry().machine_statuses().size(), n->registry().registrations().size(),
       n->job_owner().jobs().size(), usage.ru_maxrss / 1024);
--- a/tests/bench/overload_bench.cpp
+++ b/tests/bench/overload_bench.cpp
@@ -111,8 +111,8 @@
   }
   static wire::Settings settings() {
     auto s = fleet_settings();
-    s.state_rps = 5000;
-    s.state_write_rps = 5000;
+    s.store_requests_per_s = 5000;
+    s.store_writes_per_s = 5000;
     return s;
   }
 };
--- a/tests/cloud/capacity_planner_test.cpp
+++ b/tests/cloud/capacity_planner_test.cpp
@@ -141,7 +141,7 @@
 }
 
 TEST_F(CapacityPlannerTest, TheOverflowIsTheConfiguredFractionOfTheShortfall) {
-  tuning_.overflow = 0.5;
+  tuning_.on_demand_fraction = 0.5;
   planner_.set_spot_unavailable(true);
   auto demand = late_demand();
   planner_.add_deadline_overflow(demand, {{}, 40, 0}, at(0));
--- a/tests/compat/codec_test.cpp
+++ b/tests/compat/codec_test.cpp
@@ -97,7 +97,7 @@
     const auto passed_on = wire::from_cbor(bytes.data(), bytes.size())->at("report");
     const auto heartbeat = wire::parse_peer_heartbeat(passed_on);
     ASSERT_TRUE(heartbeat) << passed_on;
-    EXPECT_EQ(wire::to_peer(*heartbeat).dump(), passed_on.dump());
+    EXPECT_EQ(wire::to_peer_json(*heartbeat).dump(), passed_on.dump());
     ++count;
   }
   EXPECT_GT(count, 1u);
@@ -178,7 +178,7 @@
   ASSERT_TRUE(read);
   EXPECT_EQ(wire::to_json(*read), heartbeat);
   // On the way between controllers phases and causes are numbers.
-  EXPECT_EQ(wire::to_peer(*read).dump(),
+  EXPECT_EQ(wire::to_peer_json(*read).dump(),
             R"(["n-1","n-1:9000","small","a",true,2,3,4,5.0,)"
             R"("wk-000001",0,1,0,0,"wk-000001",0,1,1,0,"wk-000001",0,1,2,0,"wk-000001",0,1,3,0,)"
             R"("wk-000001",1,2,4,1,"wk-000001",1,2,4,2,"wk-000001",1,2,4,3,"wk-000001",1,2,4,4,)"
@@ -229,7 +229,7 @@
   EXPECT_EQ((*machines)[1].address, "n-2:9000");
   EXPECT_EQ((*machines)[1].type, "large");
   EXPECT_EQ((*machines)[1].zone, "b");
-  EXPECT_EQ((*machines)[1].held.count(), 7.5);
+  EXPECT_EQ((*machines)[1].rented_for.count(), 7.5);
   EXPECT_TRUE((*machines)[1].spot);
   EXPECT_EQ((*machines)[2].phase, wire::MachinePhase::Failed);
 }
--- a/tests/compat/fault_day.cpp
+++ b/tests/compat/fault_day.cpp
@@ -25,13 +25,13 @@
   if (seed % 5 == 0) s.teams["red"] = {10, 16, 0, 0};
   s.objectives = {{"finished", "w", wire::Seconds(90), 0.9}, {"wait", "w", wire::Seconds(20), 0.9}};
   s.operators.enabled = true;
-  s.operators.per_second = seed % 7 == 0 ? 2 : 200;
-  s.operators.page = seed % 2 == 0 ? 5 : 200;
-  s.operators.history_every = wire::Seconds(3);
-  s.drains.patience = wire::Seconds(15);
-  s.drains.moves = 6;
-  s.start.ask_unheard = seed % 4 == 0;
-  s.tuning.last_resort = seed % 4 == 1;
+  s.operators.max_requests_per_s = seed % 7 == 0 ? 2 : 200;
+  s.operators.page_size = seed % 2 == 0 ? 5 : 200;
+  s.operators.history_interval = wire::Seconds(3);
+  s.drains.no_checkpoint_grace_period = wire::Seconds(15);
+  s.drains.max_moving_tasks = 6;
+  s.start.query_machines_after_restart = seed % 4 == 0;
+  s.tuning.prioritize_underserved = seed % 4 == 1;
   s.tuning.idle_return = wire::Seconds(15);
   return s;
 }
@@ -73,13 +73,13 @@
 }
 
 void FaultDay::restart_all_controllers() {
-  for (std::size_t i = 0; i < settings_.size; ++i) cluster_.crash(i, 200ms);
+  for (std::size_t i = 0; i < settings_.controller_count; ++i) cluster_.crash(i, 200ms);
   cluster_.run(5s);
 }
 
 void FaultDay::ask_everything() {
   if (seed_ % 6 == 3) overload_controllers();
-  if (settings_.start.ask_unheard) restart_all_controllers();
+  if (settings_.start.query_machines_after_restart) restart_all_controllers();
   cluster_.run(kCalmDown);
   for (std::size_t i = 0; i < kMalformedRequests; ++i) {
     send_malformed_request(i);
@@ -112,7 +112,7 @@
   if (options_.faults) inject_fault();
 }
 
-std::size_t FaultDay::any_controller() { return world_.below(settings_.size); }
+std::size_t FaultDay::any_controller() { return world_.below(settings_.controller_count); }
 net::Duration FaultDay::between(double least_s, double most_s) {
   return seconds(world_.uniform(least_s, most_s));
 }
@@ -132,8 +132,8 @@
   }
   if (chance(0.3)) spec.team = "green";
   if (chance(0.3)) {
-    spec.checkpoint_every = wire::Seconds(10);
-    spec.save_cost = wire::Seconds(1.5);
+    spec.checkpoint_interval = wire::Seconds(10);
+    spec.checkpoint_duration = wire::Seconds(1.5);
   }
   if (chance(0.3)) spec.due = wire::Seconds(world_.uniform(30, 200));
   if (chance(0.2)) spec.rank = wire::Rank::Urgent;
@@ -156,7 +156,7 @@
 
 void FaultDay::query_some_job() {
   const auto uid = some_job();
-  for (std::size_t i = 0; i < settings_.size; ++i) cluster_.query_status(uid, i);
+  for (std::size_t i = 0; i < settings_.controller_count; ++i) cluster_.query_status(uid, i);
   if (chance(0.5)) cluster_.resubmit(uid, any_controller());
 }
 
@@ -308,7 +308,8 @@
     case 0:
       return cluster_.crash(node, between(0.02, 10));
     case 1:
-      for (std::size_t i = 0; i < settings_.size; ++i) cluster_.crash(i, between(0.02, 5));
+      for (std::size_t i = 0; i < settings_.controller_count; ++i)
+        cluster_.crash(i, between(0.02, 5));
       return;
     case 2:
       return cluster_.freeze(node, time);
--- a/tests/drains/eviction_plan_test.cpp
+++ b/tests/drains/eviction_plan_test.cpp
@@ -102,14 +102,14 @@
   late.patience_expired = true;
   EXPECT_EQ(blockers({late}, {}), (Blockers{std::nullopt}))
       << "it is requeued even without free capacity elsewhere";
-  array_.checkpoint_every = wire::Seconds(20);
+  array_.checkpoint_interval = wire::Seconds(20);
   EXPECT_EQ(blockers({task_of(array_, 0)}, {target("b", 8)}), (Blockers{std::nullopt}))
       << "a task with checkpoints loses nothing";
   EXPECT_EQ(blockers({task_of(array_, 0)}, {}), (Blockers{EvictionBlocker::NoCapacity}));
 }
 
 TEST_F(EvictionPlanTest, ServicesReserveCapacityFirstAndTheDisruptionLimitHolds) {
-  array_.checkpoint_every = wire::Seconds(20);
+  array_.checkpoint_interval = wire::Seconds(20);
   EXPECT_EQ(blockers({task_of(array_, 0), task_of(service_, 0)}, {target("b", 2)}),
             (Blockers{std::nullopt, EvictionBlocker::NoCapacity}))
       << "decisions are in plan order: the service comes first";
--- a/tests/failover/large_deployment_test.cpp
+++ b/tests/failover/large_deployment_test.cpp
@@ -20,9 +20,9 @@
   const auto begun = std::chrono::steady_clock::now();
   SimulatedWorld world(1);
   auto settings = fleet_settings();
-  settings.state_rps = 400;
-  settings.state_write_rps = 150;
-  settings.cloud_rps = 20;
+  settings.store_requests_per_s = 400;
+  settings.store_writes_per_s = 150;
+  settings.cloud_requests_per_s = 20;
   settings.tuning.idle_return = wire::Seconds(300);
   SimulatedCluster cluster(world, settings, {.per_pool = 100, .scripted = true});
   cluster.stop_arrivals();
--- a/tests/fault_interactions/user_requests_test.cpp
+++ b/tests/fault_interactions/user_requests_test.cpp
@@ -156,8 +156,8 @@
  protected:
   static wire::Settings small() {
     auto s = settings();
-    s.state_rps = 80;
-    s.state_write_rps = 30;
+    s.store_requests_per_s = 80;
+    s.store_writes_per_s = 30;
     return s;
   }
   SmallJobsAtHighRate() : FaultInteraction(small()) {}
--- a/tests/load/overload_throughput_test.cpp
+++ b/tests/load/overload_throughput_test.cpp
@@ -21,7 +21,7 @@
 double started_per_second(double load, bool admission_control, bool one_slower) {
   SimulatedWorld world(5);
   auto settings = fleet_settings();
-  if (!admission_control) settings.overload.lag = wire::Seconds(0);
+  if (!admission_control) settings.overload.max_loop_lag = wire::Seconds(0);
   SimulatedCluster cluster(world, settings, {.per_pool = 8, .one_plan = true, .scripted = true});
   start_services(cluster, 1);
   submit(cluster, array_job(cluster, 60, 400));  // keeps the machines from being released
--- a/tests/machines/registry_test.cpp
+++ b/tests/machines/registry_test.cpp
@@ -45,7 +45,7 @@
     void post(std::function<void()>) override {}
     void http(const net::Endpoint&, net::HttpRequest, net::Duration,
               std::function<void(net::HttpResult)>) override {}
-    net::Duration busy() const override { return {}; }
+    net::Duration busy_time() const override { return {}; }
     void send_peer(const std::string&, const wire::json&) override {}
     std::mt19937_64 random_{1};
   } runtime_;
--- a/tests/operator_api/console_cluster.hpp
+++ b/tests/operator_api/console_cluster.hpp
@@ -56,7 +56,7 @@
 inline wire::Settings settings_with_operators() {
   auto s = simulation::settings_for_tests();
   s.operators.enabled = true;
-  s.operators.per_second = 10'000;
+  s.operators.max_requests_per_s = 10'000;
   s.teams = {{"red", {40, 0, 0, 0}}, {"blue", {0, 0, 0, 0}}};
   return s;
 }
--- a/tests/operator_api/drains_test.cpp
+++ b/tests/operator_api/drains_test.cpp
@@ -170,8 +170,8 @@
   SimulatedWorld world(GetParam());
   auto settings = settings_for_tests();
   settings.operators.enabled = true;
-  settings.operators.per_second = 10'000;
-  settings.drains.patience = wire::Seconds(20);
+  settings.operators.max_requests_per_s = 10'000;
+  settings.drains.no_checkpoint_grace_period = wire::Seconds(20);
   SimulatedCluster cluster(world, settings, {});
   cluster.run(30s);
   std::set<std::string> drained;
--- a/tests/restart/alone_test.cpp
+++ b/tests/restart/alone_test.cpp
@@ -63,48 +63,50 @@
 class Sockets : public testing::TestWithParam<Traffic> {};
 TEST_P(Sockets, NoMachineWithTasksIsEverShutOut) {
   const auto t = GetParam();
-  const net::ConnectionLimits seats(t.most);
+  const net::ConnectionLimits limits(t.most);
   std::mt19937_64 random(5);
   std::uniform_real_distribution<double> chance(0, 1);
   struct Link {
-    net::ConnectionClass seat = net::ConnectionClass::Unknown;
+    net::ConnectionClass connection_class = net::ConnectionClass::Unknown;
     bool open = false;
     std::size_t idle_since = 0;
   };
   std::vector<Link> machine(t.machines);
   std::deque<Link> user;
-  std::size_t open = 0, shut_out = 0, torn = 0, turned_away = 0, asked = 0, answered_busy = 0;
+  std::size_t open = 0, shut_out = 0, busy_machines_closed = 0, turned_away = 0, asked = 0,
+              answered_busy = 0;
   auto close_one =
       [&] {  // an idle connection makes room, as the server chooses; false: the newcomer goes
         Link* victim = nullptr;
         auto consider = [&](Link& l) {
-          if (l.open && !net::ConnectionLimits::keep(l.seat) &&
+          if (l.open && !net::ConnectionLimits::is_never_closed_when_idle(l.connection_class) &&
               (!victim ||
-               std::pair(net::ConnectionLimits::rank(l.seat), l.idle_since) <
-                   std::pair(net::ConnectionLimits::rank(victim->seat), victim->idle_since)))
+               std::pair(net::ConnectionLimits::closing_order(l.connection_class), l.idle_since) <
+                   std::pair(net::ConnectionLimits::closing_order(victim->connection_class),
+                             victim->idle_since)))
             victim = &l;
         };
         for (auto& l : user) consider(l);
         for (auto& l : machine) consider(l);
         if (!victim) return false;
-        torn += victim->seat == net::ConnectionClass::BusyMachine;
+        busy_machines_closed += victim->connection_class == net::ConnectionClass::BusyMachine;
         victim->open = false;
         --open;
         return true;
       };
   for (std::size_t step = 0; step < 3000; ++step) {
-    auto serve = [&](Link& l, net::ConnectionClass seat) {
+    auto serve = [&](Link& l, net::ConnectionClass connection_class) {
       if (!l.open) {
         l.open = true;
-        if (seats.full(++open) && !close_one()) {
+        if (limits.over_limit(++open) && !close_one()) {
           l.open = false;
           --open;
           return false;
         }
       }
-      l.seat = seat;
+      l.connection_class = connection_class;
       l.idle_since = step;
-      if (seats.close_after(seat, open)) {
+      if (limits.should_close_after(connection_class, open)) {
         l.open = false;
         --open;
       }
@@ -119,11 +121,11 @@
     }
     for (std::size_t i = 0; i < t.silent_each_step; ++i) {
       user.push_back({net::ConnectionClass::Unknown, true, step});
-      shut_out += seats.full(++open) && !close_one();
+      shut_out += limits.over_limit(++open) && !close_one();
     }
     for (double n = t.users_per_s / 100; n > 0 && chance(random) < n; n -= 1) {
       ++asked;
-      turned_away += seats.turn_away(open + 1);
+      turned_away += limits.should_refuse_users(open + 1);
       user.emplace_back();
       if (!serve(user.back(), net::ConnectionClass::User)) ++turned_away;
       if (user.size() > 4000) user.pop_front();
@@ -131,7 +133,7 @@
     ASSERT_LE(open, t.most);
   }
   EXPECT_EQ(shut_out, 0u);
-  EXPECT_EQ(torn, 0u);
+  EXPECT_EQ(busy_machines_closed, 0u);
   EXPECT_GT(answered_busy, 0u);
   EXPECT_EQ(t.silent_each_step == 0 ? turned_away : 0, 0u)
       << "of " << asked;  // closing after the answer suffices
--- a/tests/simulation/invariant_checker.cpp
+++ b/tests/simulation/invariant_checker.cpp
@@ -70,7 +70,7 @@
     if (i != index)
       for (const auto& [m, p] : places) ++zones[p.zone];
   ++zones[zone];
-  if ((s.one_zone && zones.size() > 1) || zones[zone] > s.zone_cap())
+  if ((s.one_zone && zones.size() > 1) || zones[zone] > s.max_tasks_per_zone())
     violated("wrong_place", task + " in " + zone);
   if (job.on[index].emplace(machine, Place{machine, zone}).second) used_[s.team] += s.cpus;
   const double most = settings_.teams.at(s.team).cpus_max;
--- a/tests/simulation/scenarios.hpp
+++ b/tests/simulation/scenarios.hpp
@@ -31,9 +31,9 @@
   s.heartbeat_interval = wire::Seconds(5);
   s.worker_lease = wire::Seconds(27);
   s.cancel_timeout = wire::Seconds(47);
-  s.state_rps = 150;
-  s.state_write_rps = 35;
-  s.cloud_rps = 60;
+  s.store_requests_per_s = 150;
+  s.store_writes_per_s = 35;
+  s.cloud_requests_per_s = 60;
   s.tuning.idle_return = wire::Seconds(600);
   return s;
 }
--- a/tests/simulation/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -16,15 +16,15 @@
   s.heartbeat_interval = wire::Seconds(2);
   s.worker_lease = wire::Seconds(10);
   s.cancel_timeout = wire::Seconds(25);
-  s.state_rps = 200;
-  s.state_write_rps = 80;
-  s.value_kb = 8;
-  s.txn_ops = 12;
-  s.cloud_rps = 5;
-  s.list_lag = wire::Seconds(kListLag);
+  s.store_requests_per_s = 200;
+  s.store_writes_per_s = 80;
+  s.max_value_kib = 8;
+  s.max_txn_ops = 12;
+  s.cloud_requests_per_s = 5;
+  s.machine_list_lag = wire::Seconds(kListLag);
   s.max_connections = 1000;
-  s.state = "state:1";
-  s.cloud = "cloud:1";
+  s.store_endpoint = "state:1";
+  s.cloud_endpoint = "cloud:1";
   return s;
 }
 
@@ -34,17 +34,18 @@
       options_(options),
       state_(world, options.log_size),
       invariants_(world, settings_) {
-  settings_.size = static_cast<std::uint32_t>(options.controllers);
+  settings_.controller_count = static_cast<std::uint32_t>(options.controllers);
   nodes_.resize(options.controllers);
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     auto& s = nodes_[i].settings;
     s = settings_;
     s.label = "node-" + std::to_string(i);
     s.zone = settings_.zones[i % settings_.zones.size()];
-    s.serve_on = s.label + ":80";
-    s.peers_on = s.label + ":81";
+    s.client_listen_endpoint = s.label + ":80";
+    s.peer_listen_endpoint = s.label + ":81";
     for (std::size_t j = 0; j < nodes_.size(); ++j)
-      if (j != i) s.others["node-" + std::to_string(j)] = "node-" + std::to_string(j) + ":81";
+      if (j != i)
+        s.peer_endpoints["node-" + std::to_string(j)] = "node-" + std::to_string(j) + ":81";
     start(i);
   }
   snapshot();
--- a/tests/simulation/simulated_runtime.hpp
+++ b/tests/simulation/simulated_runtime.hpp
@@ -36,9 +36,9 @@
       d(std::move(r));
     };
     cluster_.world_.at(timeout, guard(true, [finish] { finish({0, true, {}}); }));
-    const auto side = to == cluster_.settings_.state   ? Side::State
-                      : to == cluster_.settings_.cloud ? Side::Cloud
-                                                       : Side::Workers;
+    const auto side = to == cluster_.settings_.store_endpoint   ? Side::State
+                      : to == cluster_.settings_.cloud_endpoint ? Side::Cloud
+                                                                : Side::Workers;
     auto& c = cluster_;
     const auto node = node_;
     const auto worker =
@@ -63,7 +63,7 @@
           zone);
     });
   }
-  Duration busy() const override { return cluster_.nodes_[node_].worked; }
+  Duration busy_time() const override { return cluster_.nodes_[node_].worked; }
   void send_peer(const std::string& label, const json& message) override {
     auto& c = cluster_;
     c.observe(node_, label, nullptr, nullptr, &message);
--- a/tests/simulation/simulated_workers.cpp
+++ b/tests/simulation/simulated_workers.cpp
@@ -176,7 +176,7 @@
         auto t = std::find_if(w.tasks.begin(), w.tasks.end(),
                               [&](auto& x) { return x.serial == serial; });
         if (t != w.tasks.end() && t->phase == wire::TaskPhase::Waiting)
-          end_task(w, *t, wire::ExitCause::Alone);
+          end_task(w, *t, wire::ExitCause::GangTimeout);
       });
     });
   });
@@ -213,7 +213,7 @@
     } else if (o.kind == wire::CommandKind::Stop) {
       if (it == w.tasks.end() || it->phase == wire::TaskPhase::Exited) continue;
       ++halted_;
-      end_task(w, *it, wire::ExitCause::Halted);
+      end_task(w, *it, wire::ExitCause::Stopped);
     } else if (it == w.tasks.end()) {
       invariants_.ordered(o.uid);
       Task t;
@@ -227,9 +227,9 @@
       const auto job = jobs_.find(o.uid);
       if (job == jobs_.end() || busy || free_cpus(w) + 1e-6 < job->second.spec.cpus) {
         t.phase = wire::TaskPhase::Exited;
-        t.exit_cause = job == jobs_.end() ? wire::ExitCause::NoSuch
-                       : busy             ? wire::ExitCause::InUse
-                                          : wire::ExitCause::Full;
+        t.exit_cause = job == jobs_.end() ? wire::ExitCause::UnknownTask
+                       : busy             ? wire::ExitCause::DuplicateAttempt
+                                          : wire::ExitCause::NoRoom;
         if (job == jobs_.end()) continue;
         w.tasks.push_back(t);
       } else {
--- a/tests/store/watch_cache_test.cpp
+++ b/tests/store/watch_cache_test.cpp
@@ -38,7 +38,7 @@
                       });
     });
   }
-  net::Duration busy() const override { return {}; }
+  net::Duration busy_time() const override { return {}; }
   void send_peer(const std::string&, const wire::json&) override {}
   bool cut = false;
   net::Duration watch_latency = kLatency;  ///< latency of responses to watch requests
@@ -62,9 +62,9 @@
 class WatchCacheTest : public testing::Test {
  protected:
   void SetUp() override {
-    settings_.size = 1;
-    settings_.state_rps = 100;
-    settings_.state_write_rps = 100;
+    settings_.controller_count = 1;
+    settings_.store_requests_per_s = 100;
+    settings_.store_writes_per_s = 100;
     client_ = std::make_unique<Client>(runtime_, settings_);
     watch_cache_ = std::make_unique<WatchCache>(runtime_, *client_, "w/");
     watch_cache_->start([this](const std::vector<Change>& changes) {
--- a/tests/wire/cbor_test.cpp
+++ b/tests/wire/cbor_test.cpp
@@ -34,7 +34,8 @@
   }
 }
 
-// The values hold floats: asking libcbor for the control value of one would end the process.
+// The values include floats, for which libcbor aborts the process if it is asked for a control
+// value.
 TEST(Cbor, RoundTrip) {
   std::mt19937_64 random(1);
   for (int i = 0; i < 500; ++i) {
--- a/tests/wire/cloud_test.cpp
+++ b/tests/wire/cloud_test.cpp
@@ -12,10 +12,10 @@
     {"uid":"n-000233","flavor":"small","district":"b","reclaimable":false,"phase":"failed"}]})");
 }
 
-TEST(MachinePage, IsRead) {
+TEST(MachinePage, ParsesAllFields) {
   const auto read = parse_machines(page());
   ASSERT_TRUE(read);
-  EXPECT_TRUE(read->more);
+  EXPECT_TRUE(read->has_more);
   ASSERT_EQ(read->machines.size(), 3u);
   const auto& first = read->machines[0];
   EXPECT_EQ(first.name, "n-000231");
@@ -24,24 +24,24 @@
   EXPECT_EQ(first.zone, "a");
   EXPECT_TRUE(first.spot);
   EXPECT_EQ(first.phase, MachinePhase::Running);
-  EXPECT_EQ(first.held, Seconds(12.5));
+  EXPECT_EQ(first.rented_for, Seconds(12.5));
   EXPECT_EQ(read->machines[1].phase, MachinePhase::Booting);
   EXPECT_EQ(read->machines[1].address, "");
   EXPECT_EQ(read->machines[2].phase, MachinePhase::Failed);
 }
 
-TEST(MachinePage, BothFormsReadTheSame) {
-  bool more = false;
-  const auto machines = parse_machines(page(), more);
+TEST(MachinePage, BothOverloadsReturnTheSame) {
+  bool has_more = false;
+  const auto machines = parse_machines(page(), has_more);
   ASSERT_TRUE(machines);
-  EXPECT_TRUE(more);
+  EXPECT_TRUE(has_more);
   EXPECT_EQ(machines->size(), 3u);
 }
 
-TEST(MachinePage, LastPageNeedNotSaySo) {
+TEST(MachinePage, WithoutTruncatedFieldIsTheLastPage) {
   auto body = page();
   body.erase("truncated");
-  EXPECT_FALSE(parse_machines(body)->more);
+  EXPECT_FALSE(parse_machines(body)->has_more);
 }
 
 TEST(MachinePage, MissingFieldIsRefused) {
@@ -54,7 +54,7 @@
   EXPECT_FALSE(parse_machines(json::array()));
 }
 
-TEST(Catalog, IsReadWithItsDefaults) {
+TEST(Catalog, ParsesFieldsAndAppliesDefaults) {
   const auto types = parse_catalog(json::parse(R"({"flavors":[
     {"name":"small","cpus":4.0,"ramGb":16.0,"hourly":0.2,"districts":["a","b"]},
     {"name":"g8","cpus":32.0,"accelerators":8.0,"ramGb":256.0,"localGb":100.0,"fetchGbPerS":0.5,
--- a/tests/wire/job_test.cpp
+++ b/tests/wire/job_test.cpp
@@ -11,7 +11,7 @@
     "samePlace":true,"apart":false,"reclaimable":true,"expectS":240.0,"snapshotEveryS":30.0,"snapshotCostS":4.0,"dueS":900.0})");
 }
 
-/// Both forms of parse_submission() refuse the body and name the field.
+/// Expects both overloads of parse_submission() to refuse the body and to name the field.
 void expect_refused(const json& body, const std::string& field) {
   const auto spec = parse_submission(body);
   ASSERT_FALSE(spec) << field;
@@ -32,9 +32,9 @@
   EXPECT_EQ(to_json(*again), to_json(*spec));
 }
 
-TEST(Submission, IsWrittenAsItWasRead) {
+TEST(Submission, SerializesToItsOriginalText) {
   auto expected = example();
-  expected.erase("district");  // null is left out
+  expected.erase("district");  // to_json() omits null fields
   const auto spec = parse_submission(example());
   ASSERT_TRUE(spec);
   EXPECT_EQ(to_json(*spec).dump(), expected.dump());
@@ -56,7 +56,7 @@
   }
 }
 
-TEST(Submission, OfSeveralInvalidFieldsTheFirstIsNamed) {
+TEST(Submission, FirstOfSeveralInvalidFieldsIsNamed) {
   auto body = example();
   body["dueS"] = "soon";
   body["rank"] = "high";
@@ -64,7 +64,7 @@
   expect_refused(body, "rank");
 }
 
-TEST(Submission, BodyThatIsNoObjectIsRefused) {
+TEST(Submission, BodyThatIsNotAnObjectIsRefused) {
   expect_refused(json::array(), "body");
   expect_refused(json(json::value_t::discarded), "body");
 }
@@ -96,11 +96,11 @@
   spec.spread = true;
   for (const auto& [tasks, cap] : {std::pair{9u, 5u}, {1u, 1u}, {2u, 1u}, {3u, 2u}}) {
     spec.tasks = tasks;
-    EXPECT_EQ(spec.zone_cap(), cap);
+    EXPECT_EQ(spec.max_tasks_per_zone(), cap);
   }
 }
 
-TEST(TaskName, OnlyOneFormIsRead) {
+TEST(TaskName, MalformedNameIsRefused) {
   EXPECT_EQ(parse_task_name("wk-000412/3"), (TaskName{"wk-000412", 3}));
   std::string uid;
   std::uint32_t index = 0;
--- a/tests/wire/peer_test.cpp
+++ b/tests/wire/peer_test.cpp
@@ -38,7 +38,7 @@
   std::mt19937_64 random(1);
   for (int i = 0; i < 500; ++i) {
     const auto heartbeat = random_heartbeat(random);
-    const auto bytes = to_cbor(to_peer(heartbeat));
+    const auto bytes = to_cbor(to_peer_json(heartbeat));
     const auto back = parse_peer_heartbeat(*from_cbor(bytes.data(), bytes.size()));
     ASSERT_TRUE(back);
     EXPECT_EQ(to_json(*back), to_json(heartbeat));
@@ -46,12 +46,13 @@
   }
 }
 
-// A peer of another version, or corrupted bytes: nothing is read out of bounds.
-TEST(PeerHeartbeat, AnotherFormIsRefused) {
+// Covers messages of another protocol version and corrupted ones, which must not cause reads out of
+// bounds.
+TEST(PeerHeartbeat, MalformedMessageIsRefused) {
   std::mt19937_64 random(2);
   int refused = 0;
   for (int i = 0; i < 500; ++i) {
-    auto message = to_peer(random_heartbeat(random));
+    auto message = to_peer_json(random_heartbeat(random));
     if (i % 2 == 0)
       message.erase(random() % message.size());
     else
@@ -63,7 +64,7 @@
   EXPECT_FALSE(parse_peer_heartbeat(json::object()));
 }
 
-TEST(Heartbeat, SequenceAndRestOfNoticeAreNotContent) {
+TEST(Heartbeat, SameContentIgnoresSequenceAndTimeLeftInNotice) {
   std::mt19937_64 random(3);
   auto heartbeat = random_heartbeat(random);
   heartbeat.preemption_notice = Seconds(9);
--- a/tests/wire/worker_test.cpp
+++ b/tests/wire/worker_test.cpp
@@ -33,7 +33,7 @@
   EXPECT_FALSE(parse_heartbeat(json::array()));
 }
 
-TEST(Heartbeat, IncarnationComesBeforeSequence) {
+TEST(Heartbeat, OrderIsByIncarnationThenSequence) {
   Heartbeat earlier;
   earlier.incarnation = 1;
   earlier.sequence = 900;
@@ -45,7 +45,7 @@
   EXPECT_FALSE(earlier.newer_than(earlier));
 }
 
-TEST(Heartbeat, UnknownPhaseIsReadAsRunningAndUnknownCauseAsError) {
+TEST(Heartbeat, UnknownPhaseIsParsedAsRunningAndUnknownCauseAsError) {
   auto body = example();
   body["shards"][0]["phase"] = "pondering";
   body["shards"][1]["cause"] = "whim";
@@ -56,7 +56,7 @@
   EXPECT_EQ(heartbeat->tasks[1].exit_cause, ExitCause::Error);
 }
 
-TEST(Heartbeat, PreemptionNoticeMustBeANumberIfThereIsOne) {
+TEST(Heartbeat, PreemptionNoticeIsOptionalAndANumber) {
   auto body = example();
   body["warningS"] = 9.5;
   EXPECT_EQ(parse_heartbeat(body)->preemption_notice, Seconds(9.5));
