--- a/src/operator_api/operator_api.cpp
+++ b/src/operator_api/operator_api.cpp
@@ -69,8 +69,8 @@
       drain_controller_(drain_controller),
       slo_attainment_(slo_attainment),
       metrics_(metrics),
-      history_(settings.operators.history_kept),
-      rate_limiter_(settings.operators.per_second, settings.operators.per_second) {
+      history_(settings.operators.history_size),
+      rate_limiter_(settings.operators.max_requests_per_s, settings.operators.max_requests_per_s) {
   if (!settings_.operators.enabled) return;
   message_bus_.on<messages::OperatorQuery>(
       [this](const cluster::ControllerId& from, const messages::OperatorQuery& query) {
@@ -92,7 +92,7 @@
   sample();
   remove_obsolete_drains();
   runtime_.after(kLogInterval, [this] { log_pending_reasons(); });
-  if (settings_.operators.rehearse_per_s > 0) query_itself();
+  if (settings_.operators.self_requests_per_s > 0) query_itself();
 }
 
 void OperatorApi::on_job(const std::string& uid) {
@@ -215,7 +215,7 @@
   if (others.empty()) return complete_query(id);
   for (const auto& controller : others)
     message_bus_.send(controller, messages::OperatorQuery{id, what, asked.at(controller)});
-  runtime_.after(net::to_duration(settings_.operators.patience),
+  runtime_.after(net::to_duration(settings_.operators.peer_timeout),
                  [this, id] { complete_query(id); });
 }
 
@@ -248,7 +248,7 @@
     out.push_back(std::move(entry));
   };
   add(settings_.label);
-  for (const auto& [label, endpoint] : settings_.others) add(label);
+  for (const auto& [label, endpoint] : settings_.peer_endpoints) add(label);
   return out;
 }
 
@@ -258,7 +258,7 @@
     if (!asked.is_array()) return out;
     std::size_t count = 0;
     for (const auto& uid : asked) {
-      if (!uid.is_string() || ++count > settings_.operators.page) break;
+      if (!uid.is_string() || ++count > settings_.operators.page_size) break;
       out[uid.get<std::string>()] = job_part(uid.get<std::string>());
     }
     return out;
@@ -295,7 +295,7 @@
     ++(machine_status.heartbeat.spot ? s.spot : s.ordinary);
   for (const auto& c : registry_.provisioning()) s.provisioning += c.count;
   history_.add(s);
-  runtime_.after(net::to_duration(settings_.operators.history_every), [this] { sample(); });
+  runtime_.after(net::to_duration(settings_.operators.history_interval), [this] { sample(); });
 }
 
 /// The leader deletes the drains of machines that have been removed.
@@ -313,7 +313,7 @@
                                            "drains", "history",  "metrics"};
   serve({"GET", kPrefix + kPaths[self_queries_++ % std::size(kPaths)], {}},
         [](const net::HttpResponse&) {});
-  runtime_.after(net::to_duration(wire::Seconds(1 / settings_.operators.rehearse_per_s)),
+  runtime_.after(net::to_duration(wire::Seconds(1 / settings_.operators.self_requests_per_s)),
                  [this] { query_itself(); });
 }
 }  // namespace limemast::operator_api
--- a/src/operator_api/views.cpp
+++ b/src/operator_api/views.cpp
@@ -132,7 +132,7 @@
 }
 
 void OperatorApi::jobs(const Query& query, net::Responder respond) {
-  const auto limit = limit_of(query.fields, settings_.operators.page);
+  const auto limit = limit_of(query.fields, settings_.operators.page_size);
   if (!limit) return respond(error(400, "limit: must be a whole number above 0"));
   const auto from = query.fields.find("from");
   auto it = from == query.fields.end() ? open_jobs_.begin() : open_jobs_.upper_bound(from->second);
@@ -163,7 +163,7 @@
 // ---- machines ----
 
 void OperatorApi::machines(const Query& query, net::Responder respond) {
-  const auto limit = limit_of(query.fields, settings_.operators.page);
+  const auto limit = limit_of(query.fields, settings_.operators.page_size);
   if (!limit) return respond(error(400, "limit: must be a whole number above 0"));
   const auto from = query.fields.find("from");
   const auto& all = registry_.registrations();
@@ -264,7 +264,7 @@
       entries.push_back(std::move(entry));
     };
     add(settings_.label);
-    for (const auto& [label, endpoint] : settings_.others) add(label);
+    for (const auto& [label, endpoint] : settings_.peer_endpoints) add(label);
     respond(listed("controllers", entries,
                    {{"parts", part_ages(g)},
                     {"leader", membership_.epoch().leader.label()},
@@ -394,7 +394,7 @@
     // Samples of all controllers are aligned to the same intervals. Pending tasks are summed;
     // machine counts are cluster-wide, so their maximum is taken.
     const auto step =
-        std::chrono::duration_cast<std::chrono::milliseconds>(settings_.operators.history_every)
+        std::chrono::duration_cast<std::chrono::milliseconds>(settings_.operators.history_interval)
             .count();
     std::map<std::int64_t, std::vector<std::uint64_t>> rows;
     for (const auto& [controller, part] : g.parts) {
--- a/tests/bench/large_deployment_bench.cpp
+++ b/tests/bench/large_deployment_bench.cpp
@@ -38,7 +38,7 @@
 int measure_restart(std::size_t machines, double delay, std::uint64_t seed) {
   SimulatedWorld world(seed);
   auto settings = fleet_settings();
-  settings.start.ask_unheard = std::getenv("ASK_UNHEARD") != nullptr;
+  settings.start.query_machines_after_restart = std::getenv("ASK_UNHEARD") != nullptr;
   SimulatedCluster cluster(world, settings,
                            {.machines_per_pool = machines / kMachinePools + 1, .scripted = true});
   if (!fill(cluster, machines)) return std::puts("fewer than 95 % of the machines are up"), 1;
@@ -99,7 +99,7 @@
       "%zu machines up; %zu machine records list %zu of them, the largest has %zu of at most %.0f "
       "bytes; epoch record %zu bytes; long-task map %zu bytes; leader: %zu machine statuses, "
       "%zu registrations, %zu jobs; whole simulation %ld MB\n",
-      cluster.up_machines(), records, listed_machines, largest_bytes, settings.value_kb * 1024,
+      cluster.up_machines(), records, listed_machines, largest_bytes, settings.max_value_kib * 1024,
       epoch ? epoch->dump().size() : 0, wire::to_cbor(long_task_map).size(),
       leader->registry().machine_statuses().size(), leader->registry().registrations().size(),
       leader->job_owner().jobs().size(), usage.ru_maxrss / 1024);
--- a/tests/fault_interactions/user_requests_test.cpp
+++ b/tests/fault_interactions/user_requests_test.cpp
@@ -160,8 +160,8 @@
  protected:
   static wire::Settings smallest_store_rates() {
     auto settings = default_settings();
-    settings.state_rps = 80;
-    settings.state_write_rps = 30;
+    settings.store_requests_per_s = 80;
+    settings.store_writes_per_s = 30;
     return settings;
   }
   SmallJobsAtHighRate() : FaultInteraction(smallest_store_rates()) {}
--- a/tests/load/overload_throughput_test.cpp
+++ b/tests/load/overload_throughput_test.cpp
@@ -21,7 +21,7 @@
 double started_per_second(double load, bool admission_control, bool one_controller_slower) {
   SimulatedWorld world(5);
   auto settings = fleet_settings();
-  if (!admission_control) settings.overload.lag = wire::Seconds(0);
+  if (!admission_control) settings.overload.max_loop_lag = wire::Seconds(0);
   SimulatedCluster cluster(
       world, settings,
       {.machines_per_pool = 8, .early_heartbeat_replaces_next = true, .scripted = true});
--- a/tests/restart/single_controller_test.cpp
+++ b/tests/restart/single_controller_test.cpp
@@ -85,10 +85,11 @@
   auto close_idle_connection = [&] {
     Connection* victim = nullptr;
     auto consider = [&](Connection& connection) {
-      if (connection.open && !net::ConnectionLimits::keep(connection.connection_class) &&
-          (!victim || std::pair(net::ConnectionLimits::rank(connection.connection_class),
+      if (connection.open &&
+          !net::ConnectionLimits::is_never_closed_when_idle(connection.connection_class) &&
+          (!victim || std::pair(net::ConnectionLimits::closing_order(connection.connection_class),
                                 connection.idle_since) <
-                          std::pair(net::ConnectionLimits::rank(victim->connection_class),
+                          std::pair(net::ConnectionLimits::closing_order(victim->connection_class),
                                     victim->idle_since)))
         victim = &connection;
     };
@@ -104,7 +105,7 @@
     auto serve = [&](Connection& connection, net::ConnectionClass connection_class) {
       if (!connection.open) {
         connection.open = true;
-        if (limits.full(++open_connections) && !close_idle_connection()) {
+        if (limits.over_limit(++open_connections) && !close_idle_connection()) {
           connection.open = false;
           --open_connections;
           return false;
@@ -112,7 +113,7 @@
       }
       connection.connection_class = connection_class;
       connection.idle_since = step;
-      if (limits.close_after(connection_class, open_connections)) {
+      if (limits.should_close_after(connection_class, open_connections)) {
         connection.open = false;
         --open_connections;
       }
@@ -130,12 +131,12 @@
     }
     for (std::size_t i = 0; i < traffic.silent_connections_per_step; ++i) {
       user_connections.push_back({net::ConnectionClass::Unknown, true, step});
-      rejected += limits.full(++open_connections) && !close_idle_connection();
+      rejected += limits.over_limit(++open_connections) && !close_idle_connection();
     }
     for (double n = traffic.user_requests_per_s / kStepsPerSecond; n > 0 && chance(random) < n;
          n -= 1) {
       ++user_requests;
-      rejected_users += limits.turn_away(open_connections + 1);
+      rejected_users += limits.should_refuse_users(open_connections + 1);
       user_connections.emplace_back();
       if (!serve(user_connections.back(), net::ConnectionClass::User)) ++rejected_users;
       if (user_connections.size() > kMaxUserConnections) user_connections.pop_front();
