--- a/tests/fault_interactions/delayed_heartbeats_test.cpp
+++ b/tests/fault_interactions/delayed_heartbeats_test.cpp
@@ -87,12 +87,12 @@
       if (world_.chance(0.3)) machines.insert(machine);
   cluster_.hang_machines(machines, seconds(settings_.worker_lease.count() + 2));
   cluster_.run(seconds(settings_.worker_lease.count() + uniform(5, 9)));
-  const auto halted_before = cluster_.stopped_tasks();
+  const auto stopped_before = cluster_.stopped_tasks();
   cluster_.hang_machines(machines, seconds(uniform(5, 8)));
   for (std::size_t i = 0; i < 3; ++i) cluster_.crash(i, seconds(uniform(0.02, 0.5)));
   cluster_.run(15s);
   ASSERT_EQ(violations(cluster_.invariants()), "");
-  EXPECT_EQ(cluster_.stopped_tasks(), halted_before);  // No running task was stopped.
+  EXPECT_EQ(cluster_.stopped_tasks(), stopped_before);  // No running task was stopped.
   EXPECT_LT(run_until(300s, [&] { return all_done(jobs); }), 300s);
 }
 
--- a/tests/fault_interactions/random_faults_test.cpp
+++ b/tests/fault_interactions/random_faults_test.cpp
@@ -19,8 +19,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, OverlappingRandomFaults,
                          testing::Range<std::uint64_t>(1, seed_count() + 1));
-// Regression cases. A task ran twice because its owner ignored heartbeats that it received while it
-// was temporarily not entitled to act, and a task stayed bound to a machine forever.
+// Regression cases. An owner ignored a heartbeat that arrived while it could not act, so that a
+// task ran twice; and a task stayed bound to a machine forever.
 INSTANTIATE_TEST_SUITE_P(Regressions, OverlappingRandomFaults,
                          testing::Values<std::uint64_t>(30, 61, 158, 178, 207, 254, 297));
 
--- a/tests/fault_interactions/unreachable_machines_test.cpp
+++ b/tests/fault_interactions/unreachable_machines_test.cpp
@@ -18,9 +18,8 @@
   cluster_.crash(leader(), seconds(uniform(0.1, 5)));
   cluster_.hang_random_machine(seconds(uniform(4, 20)));
   cluster_.run(seconds(uniform(6, 14)));
-  cluster_.crash(leader(),
-                 seconds(uniform(0.1, 5)));  // One lease until the unreachable machines drop their
-                                             // tasks, another until they are released, and
+  cluster_.crash(leader(), seconds(uniform(0.1, 5)));
+  // One lease until the unreachable machines drop their tasks, another until they are released, and
   // the time to start the tasks elsewhere.
   EXPECT_LT(run_until(85s, [&] { return running(cluster_, jobs) == 32u; }), 70s);
 }
@@ -106,8 +105,8 @@
     all.insert(all.end(), to_cancel.begin(), to_cancel.end());
     ASSERT_EQ(violations(cluster_.invariants()), "");
   }
-  EXPECT_GT(cluster_.invariants().ordered_after_cancel(),
-            5u);  // The start commands were in flight.
+  // Start commands were in flight when their jobs were cancelled.
+  EXPECT_GT(cluster_.invariants().ordered_after_cancel(), 5u);
   EXPECT_EQ(cluster_.invariants().started_after_cancel(), 0u);
 }
 
--- a/tests/fault_interactions/user_requests_test.cpp
+++ b/tests/fault_interactions/user_requests_test.cpp
@@ -184,14 +184,11 @@
     ASSERT_EQ(violations(cluster_.invariants()), "");
   }
   EXPECT_LT(run_until(60s, [&] { return all_done(uncancelled); }), 60s);
-  for (const auto& uid : to_cancel)
-    EXPECT_FALSE(cluster_.final_phase(uid).empty())
-        << uid;  // One write for the acceptance and two for the completion; the remainder covers
-                 // machines,
+  for (const auto& uid : to_cancel) EXPECT_FALSE(cluster_.final_phase(uid).empty()) << uid;
+  // One write for the acceptance and two for the completion; the remainder covers machines,
   // progress records and the controller restart.
-  EXPECT_LT(static_cast<double>(cluster_.state().write_count() - written_before) / kJobs,
-            3.3);  // Each change also answers the watches of three controllers; each controller
-                   // additionally sends
+  EXPECT_LT(static_cast<double>(cluster_.state().write_count() - written_before) / kJobs, 3.3);
+  // Each change also answers the watches of three controllers; each controller additionally sends
   // one keep-alive and one watch request per second.
   EXPECT_LT(static_cast<double>(cluster_.state().request_count() - handled_before) / kJobs, 12.5);
 }
--- a/tests/restart/restart_test.cpp
+++ b/tests/restart/restart_test.cpp
@@ -113,8 +113,8 @@
       for (std::size_t i = 0; i <= round % 3; ++i) {
         const auto controller = (round + i) % 3;
         run_until(
-            12s, [&] { return reached(controller, phase); },
-            2ms);  // Delays the last messages of this incarnation and the first ones of the next.
+            12s, [&] { return reached(controller, phase); }, 2ms);
+        // Delays the last messages of this incarnation and the first ones of the next.
         cluster_.delay_links(controller, 3s, 60ms);
         cluster_.run(30ms);
         cluster_.crash(controller, kRestartDelays[(round + i) % 4]);
@@ -172,8 +172,8 @@
   for (int i = 0; i < 90; ++i) {
     cluster_.crash(crash_looping, 100ms);
     if (i % 15 == 0)
-      submit(false, 6,
-             5);  // Some of these jobs fall to the crash-looping controller and are taken over.
+      // Some of these jobs are owned by the crash-looping controller and are taken over.
+      submit(false, 6, 5);
     if (i % 10 == 5) {  // Measures the time from submission to start.
       const auto uid = submit(true, 1, 0, "blue");
       const auto submitted = world_.now();
