--- a/src/cluster/lease_keeper.cpp
+++ b/src/cluster/lease_keeper.cpp
@@ -160,8 +160,10 @@
 void LeaseKeeper::mark_lost() {
   if (lost_) return;
   lost_ = true;
-  spdlog::info("{} gives up membership (lease lost or evicted); restarting as a new incarnation",
-               self_.empty() ? settings_.label : self_.text());
+  spdlog::info(
+      "{} gives up membership (lease lost, evicted or replaced as leader); restarting as a new "
+      "incarnation",
+      self_.empty() ? settings_.label : self_.text());
   events_.lost();
 }
 }  // namespace limemast::cluster
--- a/src/jobs/heartbeat_reconciler.cpp
+++ b/src/jobs/heartbeat_reconciler.cpp
@@ -313,8 +313,8 @@
       if (assignment.confirmed || assignment.min_resolving_token != ids::kNoToken ||
           membership_.is_member(assignment.delivering_controller))
         continue;
-      assignment.min_resolving_token = token;  // The machine may have sent a heartbeat of the new
-                                               // epoch before this controller learned of
+      assignment.min_resolving_token = token;
+      // The machine may have sent a heartbeat of the new epoch before this controller learned of
       // the epoch.
       machines_to_reprocess_.insert(assignment.machine);
     }
--- a/src/machines/peer_loads.hpp
+++ b/src/machines/peer_loads.hpp
@@ -14,10 +14,8 @@
   explicit PeerLoads(const GatewayContext& context) : context_(context) {}
 
   /// Stores the load and store availability that `from` reports.
-  void record(
-      const cluster::ControllerId& from,
-      const messages::HeartbeatDigest& message);  /// Share of the time since the last call, 0 to 1,
-                                                  /// in which this process's event loop was busy.
+  void record(const cluster::ControllerId& from, const messages::HeartbeatDigest& message);
+  /// Share of the time since the last call, 0 to 1, in which this process's event loop was busy.
   double measure_own_load();
   /// Detects gaps in the members' reports. A machine's silence during a gap proves nothing, so the
   /// gap resets `Registry::peers_connected_since`.
@@ -27,10 +25,9 @@
   void plan_redirects(std::size_t attached_machines, double own_load);
 
   /// Whether the current plan allows another redirect.
-  bool may_redirect() const {
-    return load_rebalancer_.remaining_moves() > 0;
-  }  /// Returns the controller that the next machine is redirected to, or nullopt if the machine
-     /// stays. Uses up one planned redirect.
+  bool may_redirect() const { return load_rebalancer_.remaining_moves() > 0; }
+  /// Returns the controller that the next machine is redirected to, or nullopt if the machine
+  /// stays. Uses up one planned redirect.
   std::optional<cluster::ControllerId> take_redirect();
   /// Number of machines redirected so far.
   std::uint64_t redirected() const { return redirected_; }
--- a/src/machines/registry.hpp
+++ b/src/machines/registry.hpp
@@ -37,9 +37,8 @@
   const MachineStatus* find(const std::string& machine) const;
   /// The interned id of the machine's name, used as an index into tables of machines. After the
   /// machine is removed, the id may be reused for another one.
-  ids::DenseId id(const std::string& machine) {
-    return ids_.assign(machine);
-  }  /// nullptr if no heartbeat of the machine is known.
+  ids::DenseId id(const std::string& machine) { return ids_.assign(machine); }
+  /// nullptr if no heartbeat of the machine is known.
   const MachineStatus* at(ids::DenseId machine) const {
     return machine < by_id_.size() ? by_id_[machine] : nullptr;
   }
