--- a/src/machines/delivery_resolution.cpp
+++ b/src/machines/delivery_resolution.cpp
@@ -32,9 +32,9 @@
   // Proof 2. A heartbeat of an earlier incarnation proves nothing about the assigned one.
   if (heartbeat.incarnation > assignment.incarnation) return AssignmentState::Gone;
   if (heartbeat.incarnation < assignment.incarnation) return AssignmentState::Unresolved;
-  // Proof 6: a worker with this token or a higher one rejects all commands of the lost deliverer.
-  const bool deliverer_lost = assignment.min_resolving_token != ids::kNoToken;
-  if (!assignment.confirmed && deliverer_lost &&
+  // Proof 6: a worker with this token or a higher one rejects all commands of the lost controller.
+  const bool delivering_controller_lost = assignment.min_resolving_token != ids::kNoToken;
+  if (!assignment.confirmed && delivering_controller_lost &&
       heartbeat.fencing_token >= assignment.min_resolving_token)
     return task ? AssignmentState::Confirmed : AssignmentState::Gone;
   // Proof 1: the attempt was on the machine, and the worker has forgotten it after its exit or
--- a/src/machines/delivery_resolution.hpp
+++ b/src/machines/delivery_resolution.hpp
@@ -61,8 +61,8 @@
   std::uint64_t attempt = 0;
   bool confirmed = false;                ///< it is proved that it arrived on the machine
   std::uint64_t confirmed_sequence = 0;  ///< sequence number of the heartbeat that proved it
-  /// Set if the deliverer was lost: the lowest token in a heartbeat that resolves the assignment
-  /// (proof 6).
+  /// Set if the delivering controller was lost: the lowest token in a heartbeat that resolves the
+  /// assignment (proof 6).
   ids::FencingToken min_resolving_token{};
 };
 
--- a/src/machines/heartbeat_forwarder.cpp
+++ b/src/machines/heartbeat_forwarder.cpp
@@ -16,7 +16,9 @@
     : context_(context), attached_(attached), peer_loads_(peer_loads) {
   using cluster::ControllerId;
   context_.message_bus.on<messages::HeartbeatDigest>(
-      [this](const ControllerId& from, const auto& message) { on_heard_machines(from, message); });
+      [this](const ControllerId& from, const auto& message) {
+        on_heartbeat_digest(from, message);
+      });
   context_.message_bus.on<messages::ResendHeartbeats>(
       [this](const ControllerId& from, const auto& message) { on_resend(from, message); });
 }
@@ -42,8 +44,8 @@
   if (context_.membership.may_act()) context_.message_bus.broadcast(message);
 }
 
-void HeartbeatForwarder::on_heard_machines(const cluster::ControllerId& from,
-                                           const messages::HeartbeatDigest& message) {
+void HeartbeatForwarder::on_heartbeat_digest(const cluster::ControllerId& from,
+                                             const messages::HeartbeatDigest& message) {
   peer_loads_.record(from, message);
   // Heartbeats that were lost on a broken link, or sent before this controller joined, are
   // requested again.
--- a/src/machines/heartbeat_forwarder.hpp
+++ b/src/machines/heartbeat_forwarder.hpp
@@ -29,8 +29,8 @@
   void announce_received_heartbeats(double own_load);
 
  private:
-  void on_heard_machines(const cluster::ControllerId& from,
-                         const messages::HeartbeatDigest& message);
+  void on_heartbeat_digest(const cluster::ControllerId& from,
+                           const messages::HeartbeatDigest& message);
   void on_resend(const cluster::ControllerId& from, const messages::ResendHeartbeats& message);
 
   GatewayContext context_;
